--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -113,7 +113,7 @@
             Reason::Unsettled => Some(Duration::from_millis(1500)),
             // Without the store no router may order another server to load the lost part.
             Reason::NoPathAway => Some(Duration::from_millis(4500)),
-            Reason::NoPath => Some(missing::SHORTEST),
+            Reason::NoPath => Some(missing::MIN_RETRY_AFTER),
             // Another router takes it at once.
             Reason::Stopping => Some(Duration::from_millis(100)),
             Reason::NoServer | Reason::Limited => Some(Duration::from_millis(1000)),
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hyper::Response;
-use policy::crash::{Fingerprint, GATHER, List, Loss, News, Start, Verdict};
+use policy::crash::{FIRST_LOSS_DELAY, Fingerprint, List, Loss, Start, Update, Verdict};
 use tokio::sync::{Notify, Semaphore, SemaphorePermit};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep, timeout};
@@ -150,7 +150,7 @@
 fn lose(state: &State, content: Fingerprint, loss: Loss, heard: bool) {
     let crashes = &state.crashes;
     crashes.lost.set(crashes.lost.get() + u64::from(!heard));
-    crashes.list.borrow_mut().lost(content, loss, heard);
+    crashes.list.borrow_mut().record_loss(content, loss, heard);
     if !heard {
         crashes.news.notify_one();
     }
@@ -162,7 +162,7 @@
     spawn_local(async move {
         if probe::refuses(&peer).await {
             let start = Start { id: server.id.clone(), born: server.born };
-            state.crashes.list.borrow_mut().ended(start, state.now());
+            state.crashes.list.borrow_mut().record_end(start, state.now());
         }
     });
 }
@@ -218,10 +218,10 @@
         let woken = timeout(wait, state.crashes.news.notified()).await.is_ok();
         sleep(BATCH).await;
         let now = state.now();
-        let news = state.crashes.list.borrow_mut().news(now, rand::random());
+        let news = state.crashes.list.borrow_mut().take_update(now, rand::random());
         wait = match state.crashes.list.borrow().counts(now) {
             // What is not told yet is due by then.
-            _ if woken => GATHER,
+            _ if woken => FIRST_LOSS_DELAY,
             (0, _) => IDLE,
             _ => LOOK,
         };
@@ -236,7 +236,7 @@
     }
 }
 
-fn notices(news: News, now: Duration) -> Vec<Notice> {
+fn notices(news: Update, now: Duration) -> Vec<Notice> {
     let mut all: Vec<Notice> = Vec::new();
     let mut lost = news.lost;
     lost.sort_by(|(_, a), (_, b)| a.start.cmp(&b.start));
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -258,7 +258,7 @@
         return answer::own(Reason::NoServer);
     };
     let now = state.now();
-    state.budget(&name, |budget| budget.request(now));
+    state.budget(&name, |budget| budget.record_request(now));
     let settings = call.settings.clone();
     let model = settings.service(&name).and_then(|s| s.model.as_ref());
     if !shutdown::takes(state, &call, model.is_some()) {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -161,7 +161,7 @@
     let left = until.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
     request.headers_mut().insert(&state.codec.names.deadline, HeaderValue::from(left));
     let sent = Instant::now();
-    peer.sent.borrow_mut().note(state.now());
+    peer.sent.borrow_mut().record(state.now());
     let answer = match timeout_at(until, link.sender.try_send_request(request)).await {
         Err(_) => return Outcome::Late,
         Ok(Err(mut e)) => {
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -131,7 +131,7 @@
 
     /// Whether it has given the seat up a moment ago.
     fn is_out(&self) -> bool {
-        self.state.tenure.borrow().is_out(self.state.now())
+        self.state.tenure.borrow().is_withdrawn(self.state.now())
     }
 
     fn is_due(&self) -> bool {
@@ -159,7 +159,7 @@
             Ok(kept) => kept,
             Err(e) => {
                 shared_read::note_silence(&self.state);
-                self.state.tenure.borrow_mut().ends();
+                self.state.tenure.borrow_mut().released();
                 self.failed = true;
                 log::debug!("gateway: seat not kept: {e}");
                 return None;
@@ -200,7 +200,7 @@
                 if self.term.take().is_some() {
                     log::info!("gateway: gives_orders=false generation={generation}");
                 }
-                self.state.tenure.borrow_mut().ends();
+                self.state.tenure.borrow_mut().released();
             }
             Some(term) => self.term = Some(Term { until, ..term }),
             None => {
@@ -239,7 +239,7 @@
         }
         self.term = match self.give(&mut term).await {
             Ok(()) => {
-                self.state.tenure.borrow_mut().works();
+                self.state.tenure.borrow_mut().succeeded();
                 Some(term)
             }
             Err(e) => {
@@ -264,7 +264,7 @@
     async fn note_failure(&mut self) {
         let (state, now) = (&self.state, self.state.now());
         let others = state.sharing.members() > 1;
-        if !state.tenure.borrow_mut().fails(now, others) {
+        if !state.tenure.borrow_mut().failed(now, others) {
             return;
         }
         log::warn!("gateway: first seat given up generation={}", self.generation);
--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -66,7 +66,7 @@
 /// servers for dead, and loading all their layers elsewhere breaks copies that were whole.
 pub(super) async fn ask_doubted(state: &State, peers: &[Rc<Peer>]) {
     let doubted: Vec<&Rc<Peer>> =
-        peers.iter().filter(|p| p.ready() && p.suspicion.borrow().open()).collect();
+        peers.iter().filter(|p| p.ready() && p.suspicion.borrow().is_unresolved()).collect();
     if doubted.len() < MANY {
         return;
     }
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use hyper::Response;
 use hyper::header::HeaderValue;
-use policy::quota::{Ask, Grant, LEAST, Ledger, Permits};
+use policy::quota::{Grant, Ledger, MIN_LIMIT, Permits, Request};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
@@ -90,7 +90,7 @@
 
     /// Whether a request may be sent to the server now.
     pub fn allows(&self, now: Duration) -> bool {
-        self.limit.borrow_mut().as_mut().is_none_or(|limit| limit.permits.held(now) > 0)
+        self.limit.borrow_mut().as_mut().is_none_or(|limit| limit.permits.available(now) > 0)
     }
 
     /// Uses a permit; true if there was one, or if none is needed.
@@ -101,7 +101,7 @@
     /// When a caller that was refused for the limit is to come back.
     pub fn come_back(&self, routers: u32, now: Duration) -> Option<Duration> {
         let mut limit = self.limit.borrow_mut();
-        limit.as_mut().map(|limit| limit.permits.come_back(limit.per_s, routers, now))
+        limit.as_mut().map(|limit| limit.permits.retry_after(limit.per_s, routers, now))
     }
 
     /// Forgets the limit.
@@ -251,20 +251,20 @@
 }
 
 async fn permits(state: &State, peer: &Peer) -> Grant {
-    let none = Grant { permits: 0, again: RETRY };
+    let none = Grant { permits: 0, retry_after: RETRY };
     let Some(limit) = peer.limited.limit.borrow().as_ref().map(|l| (l.per_s, l.since)) else {
         return none;
     };
     let (now, id) = (state.now(), peer.server().id.clone());
     let (free, last) = peer.sent.borrow_mut().before(limit.1, now);
     let free_age = last.map_or(Duration::ZERO, |last| now.saturating_sub(last));
-    let ask = Ask { limit: limit.0, free, free_age, want: peer.limited.waiting.get() };
+    let ask = Request { limit: limit.0, free, free_age, want: peer.limited.waiting.get() };
     let avoid = |address| state.neighbours.avoids(address, now);
     match shared_read::keeper(state, &id, avoid) {
         // Nobody is known: each takes an equal part.
         None => {
-            let limit = ask.limit.max(LEAST) / f64::from(state.routers());
-            keep(state, &id, &state.setup.vm, Ask { limit, ..ask })
+            let limit = ask.limit.max(MIN_LIMIT) / f64::from(state.routers());
+            keep(state, &id, &state.setup.vm, Request { limit, ..ask })
         }
         Some(member) if member.vm == state.setup.vm => keep(state, &id, &state.setup.vm, ask),
         Some(member) => match question(state, member.address, &id, ask).await {
@@ -282,9 +282,9 @@
     state: &State,
     address: SocketAddr,
     server: &str,
-    ask: Ask,
+    ask: Request,
 ) -> Result<Grant, String> {
-    let Ask { limit, free, free_age, want } = ask;
+    let Request { limit, free, free_age, want } = ask;
     let question = Question {
         version: VERSION,
         server: server.to_owned(),
@@ -296,7 +296,7 @@
     };
     let (permits, again_ms): Reply =
         state.neighbours.ask(address, "/permits", &question, ANSWER).await?;
-    Ok(Grant { permits: permits.min(want), again: Duration::from_millis(again_ms) })
+    Ok(Grant { permits: permits.min(want), retry_after: Duration::from_millis(again_ms) })
 }
 
 /// Answers another router's question for permits; none if it can't be read.
@@ -312,22 +312,22 @@
     if version != VERSION || !limit.is_finite() {
         return None;
     }
-    let ask = Ask { limit, free, free_age: Duration::from_millis(free_age_ms), want };
+    let ask = Request { limit, free, free_age: Duration::from_millis(free_age_ms), want };
     let grant = keep(state, &server, &router, ask);
-    let reply: Reply = (grant.permits, grant.again.as_millis() as u64);
+    let reply: Reply = (grant.permits, grant.retry_after.as_millis() as u64);
     Some(Bytes::from(postcard::to_allocvec(&reply).expect("plain fields")))
 }
 
 /// Gives permits from the ledger that this router keeps.
-fn keep(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
+fn keep(state: &State, server: &str, router: &str, ask: Request) -> Grant {
     let now = state.now();
     let mut ledgers = state.keeper.ledgers.borrow_mut();
-    ledgers.retain(|(_, ledger)| ledger.asked().is_some_and(|at| now < at + FORGOTTEN));
+    ledgers.retain(|(_, ledger)| ledger.last_request().is_some_and(|at| now < at + FORGOTTEN));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
         at
     });
-    ledgers[at].1.ask(router, ask, now)
+    ledgers[at].1.grant(router, ask, now)
 }
 
 /// Lines for the metrics: limits that servers name, and what this router sent there lately.
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -170,7 +170,7 @@
         }
         Notice::Declines { server } => {
             if let Some(peer) = state.peer(server) {
-                peer.declines.borrow_mut().hint(now);
+                peer.declines.borrow_mut().record_report(now);
             }
             return;
         }
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -223,7 +223,7 @@
     /// Whether it counts as dead where layers are placed: it did not answer, and has not answered since. The word of another
     /// router counts once the server was asked here as well.
     pub fn counts_as_dead(&self) -> bool {
-        self.suspicion.borrow().open() && !self.in_doubt.get()
+        self.suspicion.borrow().is_unresolved() && !self.in_doubt.get()
     }
 
     /// Whether it is usable and has not just declined a request.
@@ -234,17 +234,17 @@
     /// Notes that it did not answer; true if that was not known.
     pub fn fail(&self, now: Duration) -> bool {
         let fresh = !self.suspicion.borrow().holds(now);
-        self.suspicion.borrow_mut().fail(now);
+        self.suspicion.borrow_mut().record_failure(now);
         fresh
     }
 
     /// Notes that it broke a run off though it lives; whether that is new reason to pass over it.
     pub fn broke_off(&self, now: Duration) -> bool {
         let mut breaks = self.breaks.get();
-        let passed_over = breaks.broke(now) && !self.declines.borrow().holds(now);
+        let passed_over = breaks.record_broken_run(now) && !self.declines.borrow().holds(now);
         self.breaks.set(breaks);
         if passed_over {
-            self.declines.borrow_mut().fail(now);
+            self.declines.borrow_mut().record_failure(now);
         }
         passed_over
     }
@@ -252,18 +252,18 @@
     /// Notes that it broke a run off at some router; whether that is news.
     pub fn note_broke(&self, now: Duration) -> bool {
         let known = self.broke.replace(Some(now));
-        known.is_none_or(|at| now >= at + breaks::TOLD)
+        known.is_none_or(|at| now >= at + breaks::NOTICE_INTERVAL)
     }
 
     /// Whether it broke a run off a moment ago.
     pub fn has_broken(&self, now: Duration) -> bool {
-        self.broke.get().is_some_and(|at| now < at + breaks::AVOIDED)
+        self.broke.get().is_some_and(|at| now < at + breaks::RETRY_AVOIDANCE)
     }
 
     /// Notes that a run went on there.
     pub fn went_on(&self) {
         let mut breaks = self.breaks.get();
-        breaks.went_on();
+        breaks.record_sound_run();
         self.breaks.set(breaks);
     }
 
--- a/crates/gateway/src/repeats.rs
+++ b/crates/gateway/src/repeats.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use policy::loan::{AVOIDED, Ask, Borrower, HELD, Loan};
+use policy::loan::{Borrower, LENDER_BACKOFF, LOAN_VALIDITY, Loan, Request};
 use policy::window::Need;
 use tokio::sync::{Notify, mpsc};
 use tokio::task::spawn_local;
@@ -71,7 +71,7 @@
 impl Purse {
     /// Answers that wait for a repeat and for which none is held.
     fn short(&self, now: Duration) -> u32 {
-        self.waiting.get().saturating_sub(self.borrower.borrow_mut().held(now) as u32)
+        self.waiting.get().saturating_sub(self.borrower.borrow_mut().available(now) as u32)
     }
 }
 
@@ -84,7 +84,7 @@
     /// Asks a router again that did not answer, as it gives a sign of life.
     pub(crate) fn trust(&self, lender: SocketAddr) {
         let purses = self.purses.borrow();
-        purses.iter().for_each(|(_, purse)| purse.borrower.borrow_mut().trust(lender));
+        purses.iter().for_each(|(_, purse)| purse.borrower.borrow_mut().clear_backoff(lender));
     }
 
     fn of(&self, service: &str, need: Need) -> Rc<Purse> {
@@ -102,7 +102,7 @@
 /// Whether a repeat of a service is there for a need.
 pub fn has(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    state.repeats.of(service, need).borrower.borrow_mut().held(now) > 0
+    state.repeats.of(service, need).borrower.borrow_mut().available(now) > 0
         || state.budget(service, |budget| budget.left_for(need, now, routers)) > 0
 }
 
@@ -153,7 +153,7 @@
 /// Asks other routers for all that waits.
 async fn ask_others(state: Rc<State>, service: String, need: Need, purse: Rc<Purse>) {
     let (began, routers) = (state.now(), state.routers());
-    let part = state.budget(&service, |budget| budget.part(began, routers));
+    let part = state.budget(&service, |budget| budget.share(began, routers));
     let others = state.sharing.others(began);
     let mut round = purse.borrower.borrow_mut().round(&others, 0, part, began, &mut rand::rng());
     let (sender, mut answers) = mpsc::unbounded_channel();
@@ -182,14 +182,14 @@
         while !open.is_empty() {
             let Ok(Some((lender, loan))) = timeout_at(until, answers.recv()).await else { break };
             purse.answered.notify_waiters();
-            if let Some(at) = open.iter().position(|ask: &Ask<_>| ask.lenders[0] == lender) {
+            if let Some(at) = open.iter().position(|ask: &Request<_>| ask.lenders[0] == lender) {
                 match loan {
-                    Some(loan) => round.note(open.swap_remove(at), loan),
-                    None => round.lost(open.swap_remove(at)),
+                    Some(loan) => round.record(open.swap_remove(at), loan),
+                    None => round.timed_out(open.swap_remove(at)),
                 }
             }
         }
-        open.into_iter().for_each(|ask| round.lost(ask));
+        open.into_iter().for_each(|ask| round.timed_out(ask));
     }
     purse.asking.set(false);
     purse.answered.notify_waiters();
@@ -210,11 +210,11 @@
     service: String,
     need: Need,
     purse: Rc<Purse>,
-    ask: Ask<SocketAddr>,
+    ask: Request<SocketAddr>,
     round: mpsc::UnboundedSender<(SocketAddr, Option<Loan>)>,
 ) {
     let (asked, lender) = (state.now(), ask.lenders[0]);
-    let loan = datagram::ask(&state, &service, need, &ask, HELD).await;
+    let loan = datagram::ask(&state, &service, need, &ask, LOAN_VALIDITY).await;
     let now = state.now();
     let mut borrower = purse.borrower.borrow_mut();
     match loan {
@@ -223,8 +223,10 @@
             state.repeats.borrowed.set(state.repeats.borrowed.get() + u64::from(loan.lent));
         }
         None => {
-            log::info!("gateway: no repeats of address={lender} why=no answer within {HELD:?}");
-            borrower.avoid(lender, now + AVOIDED);
+            log::info!(
+                "gateway: no repeats of address={lender} why=no answer within {LOAN_VALIDITY:?}"
+            );
+            borrower.back_off(lender, now + LENDER_BACKOFF);
         }
     }
     drop(borrower);
@@ -245,7 +247,7 @@
     let settings = state.settings();
     for service in settings.iter().flat_map(|settings| &settings.services) {
         let name = &service.name;
-        let part = state.budget(name, |budget| budget.part(now, routers));
+        let part = state.budget(name, |budget| budget.share(now, routers));
         let left = state.budget(name, |budget| budget.left(now, routers));
         text.push_str(&format!(
             "hyssop_repeats_part{{service=\"{name}\"}} {part}\nhyssop_repeats_left{{service=\"{name}\"}} {left}\n"
--- a/crates/gateway/src/repeats/datagram.rs
+++ b/crates/gateway/src/repeats/datagram.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use policy::loan::{Ask, Loan};
+use policy::loan::{Loan, Request};
 use policy::window::Need;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -115,13 +115,16 @@
     let state = state.clone();
     spawn_local(async move {
         let more = lender::ask_for(&state, &question, question.want - loan.lent).await;
-        let loan = Loan { lent: loan.lent + more.lent, again: loan.again.min(more.again) };
+        let loan = Loan {
+            lent: loan.lent + more.lent,
+            retry_after: loan.retry_after.min(more.retry_after),
+        };
         answer(&state, question.id, loan, from).await;
     });
 }
 
 async fn answer(state: &State, id: u64, loan: Loan, to: SocketAddr) {
-    let again_ms = loan.again.as_millis() as u64;
+    let again_ms = loan.retry_after.as_millis() as u64;
     let answer = Answer { version: VERSION, id, lent: loan.lent, again_ms };
     if let Err(e) = send(state, &Datagram::Loan(answer), to).await {
         log::debug!("gateway: a loan was not sent to {to}: {e}");
@@ -133,7 +136,7 @@
     let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
-        let loan = Loan { lent: answer.lent, again: Duration::from_millis(answer.again_ms) };
+        let loan = Loan { lent: answer.lent, retry_after: Duration::from_millis(answer.again_ms) };
         // Nobody waits where the question's time is up.
         let _ = waits.send(loan);
     }
@@ -152,7 +155,7 @@
     state: &State,
     service: &str,
     need: Need,
-    ask: &Ask<SocketAddr>,
+    ask: &Request<SocketAddr>,
     limit: Duration,
 ) -> Option<Loan> {
     let (post, to) = (&state.repeats.post, ask.lenders[0]);
--- a/crates/gateway/src/repeats/heavy.rs
+++ b/crates/gateway/src/repeats/heavy.rs
@@ -7,7 +7,7 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-use policy::window::Before;
+use policy::window::Predecessor;
 
 use crate::clock;
 use crate::notice::Notice;
@@ -24,7 +24,7 @@
 pub(super) struct Heavy {
     /// When some router last told of it, by this process's time.
     told: Cell<Option<Duration>>,
-    before: Cell<Before>,
+    before: Cell<Predecessor>,
 }
 
 /// Tells the others if this router uses its part heavily and nobody has just said so.
@@ -57,18 +57,18 @@
 /// Notes that all that was said before this process started was taken over.
 pub fn note_read(state: &State) {
     let heavy = &state.repeats.heavy;
-    let before = if heavy.told.get().is_some() { Before::Unknown } else { Before::Light };
+    let before = if heavy.told.get().is_some() { Predecessor::Unknown } else { Predecessor::Light };
     heavy.before.set(before);
     log::info!("gateway: repeats before={before:?}");
 }
 
 /// What is known of the process before this one.
-pub fn before(state: &State) -> Before {
+pub fn before(state: &State) -> Predecessor {
     // Until the members are known, a part may be taken for larger than it is.
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
     match () {
-        () if state.setup.first_start => Before::First,
-        () if state.repeats.succession.has_taken_over() && member => Before::Told,
+        () if state.setup.first_start => Predecessor::First,
+        () if state.repeats.succession.has_taken_over() && member => Predecessor::Told,
         () => state.repeats.heavy.before.get(),
     }
 }
--- a/crates/gateway/src/repeats/lender.rs
+++ b/crates/gateway/src/repeats/lender.rs
@@ -20,7 +20,7 @@
     let (now, routers) = (state.now(), state.routers());
     let known = state.settings().is_some_and(|settings| settings.service(service).is_some());
     if !known {
-        return Loan { lent: 0, again: UNKNOWN };
+        return Loan { lent: 0, retry_after: UNKNOWN };
     }
     let loan = state.budget(service, |budget| budget.lend(need, want, now, routers));
     state.repeats.lent.set(state.repeats.lent.get() + u64::from(loan.lent));
@@ -35,7 +35,7 @@
     let known: Vec<SocketAddr> =
         known.filter(|other| members.binary_search(other).is_ok()).collect();
     let until = Instant::now() + ANSWER / 2;
-    let mut all = Loan { lent: 0, again: Duration::MAX };
+    let mut all = Loan { lent: 0, retry_after: Duration::MAX };
     let mut round = Round::each(&known, want);
     loop {
         let asks = round.wave();
@@ -49,8 +49,8 @@
         for (ask, loan) in asks.into_iter().zip(answers) {
             if let Some(loan) = loan {
                 all.lent += loan.lent;
-                all.again = all.again.min(loan.again);
-                round.note(ask, loan);
+                all.retry_after = all.retry_after.min(loan.retry_after);
+                round.record(ask, loan);
             }
         }
     }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -10,7 +10,7 @@
 use layers::path::{self, Ask, Holder};
 use layers::server::Zone;
 use layers::{Shape, Span, slots};
-use policy::fill::Told;
+use policy::fill::Report;
 
 use crate::answer::Reason;
 use crate::peer::{Load, Peer};
@@ -73,7 +73,7 @@
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
-        self.brings.drain(..).for_each(|(peer, bytes)| peer.begun.borrow_mut().note(now, bytes));
+        self.brings.drain(..).for_each(|(peer, bytes)| peer.begun.borrow_mut().record(now, bytes));
     }
 
     /// Whether a new request may take it, of which a fixed random number is `luck`: of those that want a link between
@@ -340,9 +340,9 @@
     match peer.filled.get().filter(|(_, at)| now < *at + FILLED) {
         Some((part, heard)) => {
             let at = heard.saturating_sub(model.told_after);
-            let told = Told { work: part * memory, at, lasting };
+            let told = Report { work: part * memory, at, lasting };
             match crowd.own > 0.0 {
-                true => told.now(now, &peer.begun.borrow(), crowd.ratio),
+                true => told.estimate(now, &peer.begun.borrow(), crowd.ratio),
                 // What others send can't be told from what this router does.
                 false => told.work,
             }
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -145,7 +145,7 @@
             }
         };
         if wants {
-            crossings[at].1.note(now);
+            crossings[at].1.record(now);
         }
         luck < crossings[at].1.share(now, self.work, LINK, state.routers())
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -11,7 +11,7 @@
 use policy::missing::Missing;
 use policy::shortage::Shortage;
 use policy::tenure::Tenure;
-use policy::window::{Budget, Crowd, Handover};
+use policy::window::{Budget, Handover, Routers};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
@@ -64,7 +64,7 @@
     /// Last entries of servers that were removed, and when.
     gone: RefCell<Vec<(Rc<Server>, Duration)>>,
     budgets: RefCell<Vec<(String, Budget)>>,
-    routers: RefCell<Crowd>,
+    routers: RefCell<Routers>,
     /// Whether the list of servers was read once.
     pub listed: Cell<bool>,
     /// When the process was told to stop.
@@ -140,7 +140,7 @@
             peers: RefCell::default(),
             gone: RefCell::default(),
             budgets: RefCell::default(),
-            routers: RefCell::new(Crowd::new(ROUTERS, REMEMBERED)),
+            routers: RefCell::new(Routers::new(ROUTERS, REMEMBERED)),
             listed: Cell::new(false),
             stopping: Cell::new(None),
             callers: Cell::new(0),
@@ -312,9 +312,9 @@
             }
         };
         let budget = &mut budgets[at].1;
-        budget.follow(repeats::before(self));
+        budget.set_predecessor(repeats::before(self));
         if let Some((rank, routers)) = self.sharing.rank().filter(|(_, routers)| *routers > 1) {
-            budget.rank(rank, routers);
+            budget.set_rank(rank, routers);
         }
         work(budget)
     }
@@ -324,7 +324,7 @@
         let (now, before) = (self.now(), repeats::before(self));
         let mut closed = Vec::new();
         for (name, budget) in self.budgets.borrow_mut().iter_mut() {
-            budget.follow(before);
+            budget.set_predecessor(before);
             closed.extend(budget.close(now).map(|handover| (name.clone(), handover)));
         }
         before.is_known(now, self.setup.retry_window).then_some(closed)
@@ -332,13 +332,13 @@
 
     /// Notes how many routers the group has now.
     pub fn count_routers(&self, routers: u32) {
-        self.routers.borrow_mut().note(self.now(), routers);
+        self.routers.borrow_mut().record(self.now(), routers);
     }
 
     /// Routers that share the retry budget.
     pub fn routers(&self) -> u32 {
         let members = self.sharing.rank().map_or(0, |(_, routers)| routers);
-        self.routers.borrow().most(self.now()).max(members)
+        self.routers.borrow().count(self.now()).max(members)
     }
 
     /// Repeats of a service that this router may still send now.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -232,7 +232,7 @@
         Err(reason) => return answer::own(reason),
     };
     state.shortage.borrow_mut().placed(state.now());
-    state.missing.borrow_mut().ends();
+    state.missing.borrow_mut().found();
     let mut head = std::mem::replace(&mut source.answer.head, Response::new(()));
     // The connection's own fields decide later whether it is kept.
     source.answer.head.headers_mut().clone_from(head.headers());
@@ -403,7 +403,7 @@
 fn note_declined(state: &State, peer: &Peer) {
     let now = state.now();
     let known = peer.declines.borrow().holds(now);
-    peer.declines.borrow_mut().fail(now);
+    peer.declines.borrow_mut().record_failure(now);
     let full = route::told_filled(peer, now).is_some_and(|part| part > NEARLY_FULL);
     if !known && !full {
         state.announce(Notice::Declines { server: peer.server().id.clone() });
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -99,18 +99,18 @@
     /// that crash may come later than the request itself: without this the second
     /// crash would be taken for the first, and a third engine would be lost.
     pub fn suspected_elsewhere(&self, fingerprint: Fingerprint) {
-        self.with(|list, now| list.learn(&[fingerprint], &[], now));
+        self.with(|list, now| list.merge(&[fingerprint], &[], now));
     }
 
     /// Another process has refused a request for its crashes.
     pub fn refused_elsewhere(&self, fingerprint: Fingerprint) {
-        self.with(|list, now| list.learn(&[], &[fingerprint], now));
+        self.with(|list, now| list.merge(&[], &[fingerprint], now));
     }
 
     /// Takes over what an agent reports, when the log can't tell.
     pub fn reported(&self, suspects: &[Fingerprint], refused: &[Fingerprint]) {
         if self.state.lock().expect("no panic while held").out {
-            self.with(|list, now| list.learn(suspects, refused, now));
+            self.with(|list, now| list.merge(suspects, refused, now));
         }
     }
 
@@ -122,7 +122,7 @@
     fn with<T>(&self, act: impl FnOnce(&mut List, Duration) -> T) -> T {
         let hold = self.settings.borrow().fleet.defaults.quarantine;
         let mut state = self.state.lock().expect("no panic while held");
-        state.list.hold_for(hold);
+        state.list.set_hold(hold);
         act(&mut state.list, EPOCH + self.began.elapsed())
     }
 
@@ -163,7 +163,7 @@
                 let mut suspects = quarantine::fingerprints(&suspects);
                 suspects.retain(|s| !cleared.contains(s));
                 let refused = quarantine::fingerprints(&refused);
-                list.learn(&suspects, &refused, now - age);
+                list.merge(&suspects, &refused, now - age);
             }
             Record::Cleared { fingerprints, .. } => {
                 let cleared = fingerprints.iter().filter_map(|f| quarantine::read(f));
--- a/crates/policy/benches/cost/mod.rs
+++ b/crates/policy/benches/cost/mod.rs
@@ -6,7 +6,7 @@
 use policy::health::State;
 use policy::link::Links;
 use policy::quarantine::List;
-use policy::queue::{Admit, Ask, Queue};
+use policy::queue::{Admit, Queue, Request};
 use policy::retry::{Budget, Failure, Outcome};
 use policy::route::{self, Load, Table};
 use policy::share::Share;
@@ -64,7 +64,7 @@
         turn += 1;
         ask(turn % size.workspaces)
     };
-    let wanted = route::Ask {
+    let wanted = route::Request {
         cost: Cost { prompt: 128, output: 64 },
         left: Duration::from_secs(30),
         prefix: Some(7),
@@ -96,8 +96,10 @@
     line(
         "next request, with prefixes",
         time(|| {
-            if let Some(entry) = queue.next_by(room, now, |prefix| table.likes(*prefix, now)) {
-                queue.back(black_box(entry));
+            if let Some(entry) =
+                queue.next_by(room, now, |prefix| table.cached_ranges(*prefix, now))
+            {
+                queue.requeue(black_box(entry));
             }
         }),
     );
@@ -181,9 +183,9 @@
     queue
 }
 
-fn ask(workspace: usize) -> Ask {
+fn ask(workspace: usize) -> Request {
     let (run, deadline) = (Duration::from_secs(3), Duration::from_secs(1_000_000));
-    Ask { workspace: ask_name(workspace), priority: 5, run, deadline }
+    Request { workspace: ask_name(workspace), priority: 5, run, deadline }
 }
 
 fn ask_name(workspace: usize) -> String {
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -122,81 +122,89 @@
     (
         "burst 10x",
         [
-            ("catch up 1", |t| t.catch_up = 1.0),
+            ("catch up 1", |t| t.max_wait_ratio = 1.0),
             ("catch up 1.25", |_| {}),
-            ("catch up 2", |t| t.catch_up = 2.0),
+            ("catch up 2", |t| t.max_wait_ratio = 2.0),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("catch up 1", |t| t.catch_up = 1.0),
+            ("catch up 1", |t| t.max_wait_ratio = 1.0),
             ("catch up 1.25", |_| {}),
-            ("catch up 2", |t| t.catch_up = 2.0),
+            ("catch up 2", |t| t.max_wait_ratio = 2.0),
         ],
     ),
     (
         "prefix 80%",
         [
-            ("bound 1.0", |t| t.bound = 1.0),
+            ("bound 1.0", |t| t.load_bound = 1.0),
             ("bound 1.25", |_| {}),
-            ("bound 2.0", |t| t.bound = 2.0),
+            ("bound 2.0", |t| t.load_bound = 2.0),
         ],
     ),
     (
         "steady 0.8x",
-        [("load 0", |t| t.load = 0.0), ("load 0.25", |_| {}), ("load 1", |t| t.load = 1.0)],
+        [
+            ("load 0", |t| t.full_load_penalty = 0.0),
+            ("load 0.25", |_| {}),
+            ("load 1", |t| t.full_load_penalty = 1.0),
+        ],
     ),
     (
         "saturation 1.5x",
         [
-            ("mixing 0.01", |t| t.mixing = 0.01),
+            ("mixing 0.01", |t| t.cost_smoothing = 0.01),
             ("mixing 0.03", |_| {}),
-            ("mixing 0.1", |t| t.mixing = 0.1),
+            ("mixing 0.1", |t| t.cost_smoothing = 0.1),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("patience 0", |t| t.patience = 0.0),
+            ("patience 0", |t| t.hold_ratio = 0.0),
             ("patience 0.25", |_| {}),
-            ("patience 1", |t| t.patience = 1.0),
+            ("patience 1", |t| t.hold_ratio = 1.0),
         ],
     ),
     (
         "third lost",
         [
-            ("patience 0", |t| t.patience = 0.0),
+            ("patience 0", |t| t.hold_ratio = 0.0),
             ("patience 0.25", |_| {}),
-            ("patience 1", |t| t.patience = 1.0),
+            ("patience 1", |t| t.hold_ratio = 1.0),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("hold 250 ms", |t| t.hold = Duration::from_millis(250)),
+            ("hold 250 ms", |t| t.max_hold = Duration::from_millis(250)),
             ("hold 500 ms", |_| {}),
-            ("hold 1 s", |t| t.hold = Duration::from_secs(1)),
+            ("hold 1 s", |t| t.max_hold = Duration::from_secs(1)),
         ],
     ),
     (
         "one 10x slower",
-        [("slow 2", |t| t.slow = 2.0), ("slow 4", |_| {}), ("slow 8", |t| t.slow = 8.0)],
+        [
+            ("slow 2", |t| t.slow_factor = 2.0),
+            ("slow 4", |_| {}),
+            ("slow 8", |t| t.slow_factor = 8.0),
+        ],
     ),
     (
         "one 10x slower",
         [
-            ("strikes 1", |t| t.strikes = 1),
+            ("strikes 1", |t| t.faults_to_eject = 1),
             ("strikes 3", |_| {}),
-            ("strikes 12", |t| t.strikes = 12),
+            ("strikes 12", |t| t.faults_to_eject = 12),
         ],
     ),
     (
         "one 10x slower",
         [
-            ("eject 2 s", |t| t.eject = Duration::from_secs(2)),
+            ("eject 2 s", |t| t.min_ejection = Duration::from_secs(2)),
             ("eject 5 s", |_| {}),
-            ("eject 15 s", |t| t.eject = Duration::from_secs(15)),
+            ("eject 15 s", |t| t.min_ejection = Duration::from_secs(15)),
         ],
     ),
     (
@@ -218,14 +226,18 @@
     (
         "saturation 1.5x",
         [
-            ("margin 1", |t| t.margin = 1.0),
+            ("margin 1", |t| t.overtaking_factor = 1.0),
             ("margin 1.25", |_| {}),
-            ("margin 1.5", |t| t.margin = 1.5),
+            ("margin 1.5", |t| t.overtaking_factor = 1.5),
         ],
     ),
     (
         "saturation 1.5x",
-        [("doubt 0", |t| t.doubt = 0.0), ("doubt 0.25", |_| {}), ("doubt 1", |t| t.doubt = 1.0)],
+        [
+            ("doubt 0", |t| t.lateness_tolerance = 0.0),
+            ("doubt 0.25", |_| {}),
+            ("doubt 1", |t| t.lateness_tolerance = 1.0),
+        ],
     ),
     (
         "workspace 80%",
@@ -238,17 +250,17 @@
     (
         "third returns",
         [
-            ("ramp 0", |t| t.ramp = Duration::ZERO),
+            ("ramp 0", |t| t.doubling_time = Duration::ZERO),
             ("ramp 500 ms", |_| {}),
-            ("ramp 2 s", |t| t.ramp = Duration::from_secs(2)),
+            ("ramp 2 s", |t| t.doubling_time = Duration::from_secs(2)),
         ],
     ),
     (
         "third lost",
         [
-            ("retries 0.02", |t| t.retries = 0.02),
+            ("retries 0.02", |t| t.retry_ratio = 0.02),
             ("retries 0.1", |_| {}),
-            ("retries 0.5", |t| t.retries = 0.5),
+            ("retries 0.5", |t| t.retry_ratio = 0.5),
         ],
     ),
     (
@@ -262,9 +274,9 @@
     (
         "saturation 1.5x",
         [
-            ("left free 0", |t| t.left_free = 0.0),
+            ("left free 0", |t| t.free_reserve_ratio = 0.0),
             ("left free 0.02", |_| {}),
-            ("left free 0.05", |t| t.left_free = 0.05),
+            ("left free 0.05", |t| t.free_reserve_ratio = 0.05),
         ],
     ),
 ];
--- a/crates/policy/benches/sim/mod.rs
+++ b/crates/policy/benches/sim/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use policy::limit::{Admit, Kind, Slots};
-use policy::queue::Ask;
+use policy::queue::Request as Queued;
 use policy::retry::{Failure, Outcome, Retry};
 use policy::route::{self, End};
 use policy::work::{Cost, PREFILL};
@@ -145,7 +145,7 @@
         let (now, request) = (self.now, &self.requests[i]);
         let router = &mut self.routers[request.router];
         let cost = Cost { prompt: (SHARED + OWN) * PREFILL, output: request.most };
-        let ask = Ask {
+        let ask = Queued {
             workspace: workspace(request.workspace),
             priority: 5,
             run: cost.run(router.table.step()),
@@ -184,8 +184,9 @@
             let room = router.table.room(ROUTERS as u32, self.now);
             let (table, requests, now) = (&router.table, &self.requests, self.now);
             let aware = self.variant.pick == Pick::Policy;
-            let likes =
-                |i: &usize| if aware { table.likes(hash(requests[*i].prefix), now) } else { 0 };
+            let likes = |i: &usize| {
+                if aware { table.cached_ranges(hash(requests[*i].prefix), now) } else { 0 }
+            };
             let Some(start) = router.queue.next(room, now, likes) else { return };
             let kind = match self.tries[start.request] {
                 0 => Kind::New,
@@ -345,7 +346,7 @@
         let prefix = Some(hash(request.prefix));
         let from = request.router % 3;
         let left = request.deadline.saturating_sub(self.now);
-        let ask = route::Ask { cost, left, prefix, keyed: false, recovery, from, avoid: &[] };
+        let ask = route::Request { cost, left, prefix, keyed: false, recovery, from, avoid: &[] };
         let chain = router.table.chain(&ask, self.now, &mut router.rng)?;
         let index = |vm: &String| vm[3..].parse().expect("a number");
         Some(chain.iter().map(|list| list.iter().map(index).collect()).collect())
--- a/crates/policy/benches/sim/variant.rs
+++ b/crates/policy/benches/sim/variant.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use policy::limit::Objective;
-use policy::queue::{Admit, Ask, Entry, Queue};
-use policy::refusal::{OUTAGE, Reason, Refusal};
+use policy::queue::{Admit, Entry, Queue, Request};
+use policy::refusal::{OUTAGE_RETRY_AFTER, Reason, Refusal};
 use policy::room::Room;
 use policy::share::Share;
 use policy::tuning::Tuning;
@@ -109,13 +109,13 @@
 #[allow(clippy::large_enum_variant)]
 pub enum Waiting {
     Fair(Queue<usize>),
-    Fifo(VecDeque<(Ask, usize)>),
+    Fifo(VecDeque<(Request, usize)>),
 }
 
 /// A request to start.
 #[derive(Debug)]
 pub struct Start {
-    pub ask: Ask,
+    pub ask: Request,
     pub request: usize,
     entry: Option<Entry<usize>>,
 }
@@ -140,7 +140,7 @@
     /// Lets a request in; the refusal if it isn't.
     pub fn admit(
         &mut self,
-        ask: Ask,
+        ask: Request,
         request: usize,
         room: Room,
         now: Duration,
@@ -177,10 +177,11 @@
     pub fn expired(&mut self, room: Room, now: Duration) -> Vec<(usize, Refusal)> {
         match self {
             Waiting::Fifo(list) => {
-                let refusal = Refusal { reason: Reason::Deadline, retry_after: Some(OUTAGE) };
+                let refusal =
+                    Refusal { reason: Reason::Deadline, retry_after: Some(OUTAGE_RETRY_AFTER) };
                 let (late, left) = list.drain(..).partition(|(ask, _)| ask.deadline <= now);
                 *list = left;
-                let late: VecDeque<(Ask, usize)> = late;
+                let late: VecDeque<(Request, usize)> = late;
                 late.into_iter().map(|(_, request)| (request, refusal)).collect()
             }
             Waiting::Fair(queue) => {
@@ -197,8 +198,8 @@
 
     pub fn back(&mut self, start: Start, lost: bool) {
         match (self, start.entry) {
-            (Waiting::Fair(queue), Some(entry)) if lost => queue.lost(entry),
-            (Waiting::Fair(queue), Some(entry)) => queue.back(entry),
+            (Waiting::Fair(queue), Some(entry)) if lost => queue.requeue_first(entry),
+            (Waiting::Fair(queue), Some(entry)) => queue.requeue(entry),
             (Waiting::Fifo(list), _) => list.push_front((start.ask, start.request)),
             _ => {}
         }
@@ -207,6 +208,6 @@
 
 impl From<Entry<usize>> for Start {
     fn from(entry: Entry<usize>) -> Start {
-        Start { ask: entry.ask.clone(), request: entry.item, entry: Some(entry) }
+        Start { ask: entry.request.clone(), request: entry.item, entry: Some(entry) }
     }
 }
--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -6,7 +6,7 @@
 //!
 //! All routers rank the replicas by a rendezvous hash: no cache events are needed,
 //! so late or missing ones do no harm, and when a replica goes only its own prefixes
-//! move. The preferred replica is taken only while its load is at most [`BOUND`] times the
+//! move. The preferred replica is taken only while its load is at most [`LOAD_BOUND`] times the
 //! mean of its range (bounded loads); past that the choice is made by load alone.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -15,7 +15,7 @@
 ///
 /// At 1.0 a prefix moves at every unevenness and caches stay cold; at 2.0 a single
 /// popular prefix doubles the load of its replica. See the sweep in docs/design/decisions.md.
-pub const BOUND: f64 = 1.25;
+pub const LOAD_BOUND: f64 = 1.25;
 
 /// Replicas of a range that share a prefix, where one is not enough: with more, a free slot
 /// more often suits a prefix that waits, but each engine's cache has to hold more prefixes.
@@ -70,7 +70,7 @@
 }
 
 /// True when a replica with `busy` of `slots` may take one more of its own prefix, in a range
-/// with `all_busy` of `all_slots`; `bound` is usually [`BOUND`].
+/// with `all_busy` of `all_slots`; `bound` is usually [`LOAD_BOUND`].
 ///
 /// ```
 /// use policy::affinity::within_bound;
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -6,7 +6,7 @@
 //! step times in a relation of 2 : 3 : 4.5 a random match loses 7% of the throughput.
 //!
 //! So the head is chosen by time, and the replicas after it by how far their step time is
-//! from the one at the head's place in its own range. Each link counts in the same unit.
+//! from the one at the head's quantile in its own range. Each link counts in the same unit.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::link::{DataCentre, Links};
 use crate::range::Range;
 use crate::replica::Replica;
-use crate::route::Ask;
+use crate::route::Request;
 use crate::tuning::Tuning;
 use crate::work::PREFILL;
 
@@ -23,15 +23,15 @@
 pub const CANDIDATES: usize = 3;
 
 /// How much a full replica's time counts above an idle one's: batches lengthen steps.
-pub const LOAD: f64 = 0.25;
+pub const FULL_LOAD_PENALTY: f64 = 0.25;
 
 /// Added to a replica's cost, relative to the range's mean step, before it weighs in the draw: small
 /// values draw nearly always the best fit and herd there, large ones draw by free slots alone.
-pub const MIXING: f64 = 0.03;
+pub const COST_SMOOTHING: f64 = 0.03;
 
 /// Links and distance of a chain's steps from the best match, relative to the mean step, up to which
 /// no other head is tried.
-const FITS: f64 = 0.02;
+const GOOD_FIT: f64 = 0.02;
 
 /// Part of the time that a better match would save for which slots that match badly are left free.
 ///
@@ -39,22 +39,22 @@
 /// matched badly would be filled again and again. A chain that matches well is filled
 /// at once, so what this costs falls as the matches get better. Where no better match exists, as after
 /// the loss of a data centre, the time is wasted: hence only a part of what could be saved.
-pub const PATIENCE: f64 = 0.25;
+pub const HOLD_RATIO: f64 = 0.25;
 
 /// Longest time for which slots are left free for a better match.
-pub const HOLD: Duration = Duration::from_millis(500);
+pub const MAX_HOLD: Duration = Duration::from_millis(500);
 
 /// What a full replica counts for a draft that lost a stage, in free slots: it may have a reserve.
-const RESERVE: f64 = 0.1;
+const FULL_REPLICA_WEIGHT: f64 = 0.1;
 
 /// A head with candidates for the other ranges.
 struct Picked {
     head: usize,
-    mates: Vec<Vec<usize>>,
-    /// Cost of the mates relative to the mean step: links, and distance from the steps that suit.
-    unfit: f64,
+    others: Vec<Vec<usize>>,
+    /// Cost of the others relative to the mean step: links, and distance from the steps that suit.
+    mismatch: f64,
     /// Since when the first of its replicas has a free slot.
-    since: Duration,
+    free_since: Duration,
 }
 
 /// What suits the next range of a chain.
@@ -71,7 +71,7 @@
 pub(crate) struct Choice<'a> {
     pub(crate) ranges: &'a [Range],
     pub(crate) links: &'a Links,
-    pub(crate) ask: &'a Ask<'a>,
+    pub(crate) request: &'a Request<'a>,
     pub(crate) tuning: &'a Tuning,
     pub(crate) now: Duration,
 }
@@ -86,9 +86,9 @@
         let mut heads = self.heads(homes[0], rng);
         let mut best: Option<Picked> = None;
         for &head in &heads {
-            let picked = self.mates(head, &homes, rng)?;
-            let fits = picked.unfit <= FITS;
-            if best.as_ref().is_none_or(|b| picked.unfit < b.unfit) {
+            let picked = self.complete(head, &homes, rng)?;
+            let fits = picked.mismatch <= GOOD_FIT;
+            if best.as_ref().is_none_or(|b| picked.mismatch < b.mismatch) {
                 best = Some(picked);
             }
             // The first is the best by time and prefix; the others only replace a bad match.
@@ -96,33 +96,33 @@
                 break;
             }
         }
-        let best = best.filter(|b| self.now >= b.since + self.hold(b.unfit))?;
+        let best = best.filter(|b| self.now >= b.free_since + self.hold(b.mismatch))?;
         heads.retain(|&i| i != best.head);
         heads.insert(0, best.head);
         let mut lists = vec![heads];
-        lists.extend(best.mates);
+        lists.extend(best.others);
         Some(lists)
     }
 
     /// How long slots that match this badly are left free: what a better match would save, in part.
-    fn hold(&self, unfit: f64) -> Duration {
+    fn hold(&self, mismatch: f64) -> Duration {
         let mean: f64 = self.ranges.iter().map(Range::mean_step).sum();
-        let run = self.ask.cost.run(Duration::from_secs_f64(mean / 1e6));
-        if self.ask.recovery {
+        let run = self.request.cost.run(Duration::from_secs_f64(mean / 1e6));
+        if self.request.recovery {
             return Duration::ZERO;
         }
-        run.mul_f64(unfit * self.tuning.patience).min(self.tuning.hold)
+        run.mul_f64(mismatch * self.tuning.hold_ratio).min(self.tuning.max_hold)
     }
 
     /// Candidates for the head: those whose chains end before the deadline, if there are any.
     fn heads(&self, home: Option<usize>, rng: &mut impl Rng) -> Vec<usize> {
         let range = &self.ranges[0];
-        let steps = f64::from(self.ask.cost.steps());
-        let left = self.ask.left.as_secs_f64() * 1e6;
-        let fit = Fit { from: self.ask.from, mean: range.mean_step(), target: 0.0 };
-        let chain = |place| self.ranges.iter().map(|range| range.step_at(place)).sum::<f64>();
+        let steps = f64::from(self.request.cost.steps());
+        let left = self.request.left.as_secs_f64() * 1e6;
+        let fit = Fit { from: self.request.from, mean: range.mean_step(), target: 0.0 };
+        let chain = |quantile| self.ranges.iter().map(|range| range.step_at(quantile)).sum::<f64>();
         let all = steps * chain(1.0) <= left;
-        let in_time = |r: &Replica| all || steps * chain(range.place(r.step())) <= left;
+        let in_time = |r: &Replica| all || steps * chain(range.quantile(r.step())) <= left;
         let picks = self.pick(range, &fit, home, in_time, rng);
         if !picks.is_empty() {
             return picks;
@@ -133,22 +133,23 @@
     }
 
     /// The ranges after the head.
-    fn mates(&self, head: usize, homes: &[Option<usize>], rng: &mut impl Rng) -> Option<Picked> {
+    fn complete(&self, head: usize, homes: &[Option<usize>], rng: &mut impl Rng) -> Option<Picked> {
         let first = &self.ranges[0].list[head];
-        let place = self.ranges[0].place(first.step());
-        let mut picked = Picked { head, mates: Vec::new(), unfit: 0.0, since: first.free_since };
+        let quantile = self.ranges[0].quantile(first.step());
+        let mut picked =
+            Picked { head, others: Vec::new(), mismatch: 0.0, free_since: first.free_since };
         let (mut from, mut total) = (first.data_centre, 0.0);
         for (range, home) in self.ranges.iter().zip(homes).skip(1) {
-            let fit = Fit { from, mean: range.mean_step(), target: range.step_at(place) };
+            let fit = Fit { from, mean: range.mean_step(), target: range.step_at(quantile) };
             let picks = self.pick(range, &fit, *home, |_| true, rng);
-            let mate = &range.list[*picks.first()?];
-            picked.unfit += self.cost(mate, &fit);
-            picked.since = picked.since.min(mate.free_since);
+            let other = &range.list[*picks.first()?];
+            picked.mismatch += self.cost(other, &fit);
+            picked.free_since = picked.free_since.min(other.free_since);
             total += fit.mean;
-            from = mate.data_centre;
-            picked.mates.push(picks);
+            from = other.data_centre;
+            picked.others.push(picks);
         }
-        picked.unfit /= f64::max(total, 1.0);
+        picked.mismatch /= f64::max(total, 1.0);
         Some(picked)
     }
 
@@ -162,8 +163,8 @@
         rng: &mut impl Rng,
     ) -> Vec<usize> {
         let weight = |r: &Replica| match self.free(r) {
-            free if free == 0.0 || self.ask.avoid.contains(&r.vm) || !suits(r) => 0.0,
-            free => free / (self.cost(r, fit) / fit.mean + self.tuning.mixing).powi(2),
+            free if free == 0.0 || self.request.avoid.contains(&r.vm) || !suits(r) => 0.0,
+            free => free / (self.cost(r, fit) / fit.mean + self.tuning.cost_smoothing).powi(2),
         };
         let mut weights: Vec<f64> = range.list.iter().map(weight).collect();
         let mut picks: Vec<usize> = Vec::with_capacity(CANDIDATES + 1);
@@ -179,7 +180,7 @@
             _ => {}
         }
         match home {
-            Some(i) if self.ask.keyed || picks.first().is_none_or(|&p| time(i) <= time(p)) => {
+            Some(i) if self.request.keyed || picks.first().is_none_or(|&p| time(i) <= time(p)) => {
                 picks.retain(|&p| p != i);
                 picks.insert(0, i);
                 picks.truncate(CANDIDATES);
@@ -192,17 +193,17 @@
     /// Free slots as this request sees them.
     fn free(&self, r: &Replica) -> f64 {
         match r.free(self.now) {
-            0 if self.ask.recovery && r.limit(self.now) > 0 => RESERVE,
+            0 if self.request.recovery && r.limit(self.now) > 0 => FULL_REPLICA_WEIGHT,
             free => f64::from(free),
         }
     }
 
     /// The replica of the request's prefix or key, when it may take one more.
     fn home(&self, range: &Range) -> Option<usize> {
-        let usable = |r: &Replica| r.limit(self.now) > 0 && !self.ask.avoid.contains(&r.vm);
-        let mut homes = range.homes(self.ask.prefix?, usable);
-        let bound = self.tuning.bound;
-        homes.find(|&home| self.ask.keyed || range.within_bound(home, bound, self.now))
+        let usable = |r: &Replica| r.limit(self.now) > 0 && !self.request.avoid.contains(&r.vm);
+        let mut homes = range.homes(self.request.prefix?, usable);
+        let bound = self.tuning.load_bound;
+        homes.find(|&home| self.request.keyed || range.within_bound(home, bound, self.now))
     }
 
     /// Microseconds that each token costs: the link, and the step time or its distance from the best.
@@ -213,9 +214,10 @@
 
     /// Microseconds that the whole request costs.
     fn time(&self, r: &Replica, fit: &Fit, cached: bool) -> f64 {
-        let prompt = if cached { 0 } else { self.ask.cost.prompt.div_ceil(PREFILL) };
-        let load = 1.0 + self.tuning.load * f64::from(r.busy()) / f64::from(r.slots.max(1));
-        let tokens = f64::from(self.ask.cost.output) * self.cost(r, fit) * load;
+        let prompt = if cached { 0 } else { self.request.cost.prompt.div_ceil(PREFILL) };
+        let load =
+            1.0 + self.tuning.full_load_penalty * f64::from(r.busy()) / f64::from(r.slots.max(1));
+        let tokens = f64::from(self.request.cost.output) * self.cost(r, fit) * load;
         f64::from(prompt) * r.step() + tokens
     }
 }
--- a/crates/policy/src/crash.rs
+++ b/crates/policy/src/crash.rs
@@ -6,7 +6,7 @@
 //!
 //! What ran on a server that has ended is a suspect until it gets past the event at which it was lost, on any server. A
 //! suspect of two losses runs with no other suspect beside it, so that a third loss names one request; after
-//! [`LOSSES`] of them it is refused. Where servers end in bulk, a loss is less of a reason, as is one that several
+//! [`MIN_LOSSES_TO_REFUSE`] of them it is refused. Where servers end in bulk, a loss is less of a reason, as is one that several
 //! requests share: then it takes more of them, and until they are told apart none of the suspects is sent for a moment.
 //! All routers tell each other of losses and of what is refused. A verdict ends by time, and as soon as the
 //! request gets further anywhere.
@@ -16,60 +16,60 @@
 pub use crate::quarantine::Fingerprint;
 
 /// Losses after which a request is refused.
-pub const LOSSES: usize = 3;
+pub const MIN_LOSSES_TO_REFUSE: usize = 3;
 
 /// Losses after which a request runs alone.
-const SUSPECT: usize = 2;
+const MIN_LOSSES_TO_SUSPECT: usize = 2;
 
 /// Losses that are kept of a request, the latest ones. A server whose loss is forgotten counts as one that ended
 /// of itself.
-const KEPT: usize = 16;
+const MAX_LOSSES_KEPT: usize = 16;
 
 /// Weight of losses from which on a request is refused: three, one of which may have another explanation.
-const GUILTY: f64 = 2.5;
+const MIN_WEIGHT_TO_REFUSE: f64 = 2.5;
 
 /// Weight of losses from which on a request runs alone.
-const ALONE: f64 = 1.5;
+const MIN_WEIGHT_TO_ISOLATE: f64 = 1.5;
 
 /// Time within which servers that end do so together.
-const TOGETHER: Duration = Duration::from_secs(1);
+const BULK_WINDOW: Duration = Duration::from_secs(1);
 
 /// Time for which a request is refused.
-pub const HOLD: Duration = Duration::from_secs(600);
+pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
 
 /// Time for which a loss counts: beyond the end of a verdict, so that one more is enough then.
-const MEMORY: Duration = Duration::from_secs(2 * 600);
+const LOSS_LIFETIME: Duration = Duration::from_secs(2 * 600);
 
 /// Time for which suspects that are not told apart yet are not sent. Those that are not at fault get past their losses
 /// meanwhile.
-const UNCERTAIN: Duration = Duration::from_secs(1);
+const UNDECIDED_PAUSE: Duration = Duration::from_secs(1);
 
-/// Time for which a request that came to its end is remembered at least: losses that are heard of later are not its own.
-const COMPLETED: Duration = Duration::from_secs(5);
+/// Time for which a request that came to its end is remembered at least: losses that are remote of later are not its own.
+const COMPLETION_LIFETIME: Duration = Duration::from_secs(5);
 
 /// Suspects kept at most.
-pub const LIMIT: usize = 1024;
+pub const MAX_SUSPECTS: usize = 1024;
 
 /// Ended servers kept at most.
-const ENDED: usize = 512;
+const MAX_ENDED_SERVERS: usize = 512;
 
 /// Requests with many losses up to which each of them explains the end of its servers. Beyond it servers end in bulk.
-const FEW: usize = 8;
+const MAX_EXPLAINING_REQUESTS: usize = 8;
 
 /// Losses that are told at a time, the gravest first. When a server ends with hundreds of runs, most of them
 /// are past their loss by the time it would be told.
-const TOLD: usize = 32;
+const MAX_LOSSES_PER_UPDATE: usize = 32;
 
 /// Time for which a first loss is not told yet, as most requests get past it. One of a suspect is told at once.
-pub const GATHER: Duration = Duration::from_millis(100);
+pub const FIRST_LOSS_DELAY: Duration = Duration::from_millis(100);
 
 /// Time after which what is refused is told again, so that routers which could not hear of it do: at first sooner, as a
 /// notice may be lost.
-const AGAIN: Duration = Duration::from_secs(4);
-const SOON: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_secs(4);
+const FIRST_RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// How often it is told again soon.
-const SOON_TOLD: u32 = 2;
+const FAST_RESENDS: u32 = 2;
 
 /// One start of a server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -112,7 +112,7 @@
 
 /// What other routers have to know.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct News {
+pub struct Update {
     /// Runs that ended with their servers.
     pub lost: Vec<(Fingerprint, Loss)>,
     /// Requests that got past their losses, and whether they were refused.
@@ -137,15 +137,15 @@
 #[derive(Debug, Clone, PartialEq)]
 struct Record {
     fingerprint: Fingerprint,
-    /// The latest losses, and whether each was told or heard.
+    /// The latest losses, and whether each was told or remote.
     losses: Vec<(Loss, bool)>,
     /// Servers that have ended under it.
     servers: u32,
     /// End of the time in which it is refused.
-    until: Option<Duration>,
+    refused_until: Option<Duration>,
     /// When others are told again that it is refused, and how often they were.
-    tell: Duration,
-    told: u32,
+    resend_at: Duration,
+    resends: u32,
 }
 
 impl Record {
@@ -158,7 +158,7 @@
     }
 
     fn is_refused(&self, now: Duration) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.refused_until.is_some_and(|until| now < until)
     }
 }
 
@@ -172,8 +172,8 @@
 }
 
 impl Completed {
-    fn note(&mut self, fingerprint: Fingerprint, now: Duration) {
-        if now >= self.since + COMPLETED || self.newer.len() >= LIMIT {
+    fn record(&mut self, fingerprint: Fingerprint, now: Duration) {
+        if now >= self.since + COMPLETION_LIFETIME || self.newer.len() >= MAX_SUSPECTS {
             self.older = std::mem::take(&mut self.newer);
             self.since = now;
         }
@@ -183,7 +183,7 @@
     }
 
     fn holds(&self, fingerprint: Fingerprint, now: Duration) -> bool {
-        now < self.since + COMPLETED * 2
+        now < self.since + COMPLETION_LIFETIME * 2
             && [&self.newer, &self.older].iter().any(|all| all.binary_search(&fingerprint).is_ok())
     }
 }
@@ -208,66 +208,69 @@
     /// use policy::crash::{List, Loss, Start, Verdict};
     /// let (mut list, at) = (List::default(), Duration::from_secs);
     /// let loss = |n| Loss { start: Start { id: format!("vm-{n}"), born: 1 }, at: at(n), events: 0 };
-    /// list.lost(7, loss(1), false);
+    /// list.record_loss(7, loss(1), false);
     /// assert_eq!(list.verdict(7, at(1)), Verdict::Clear);
-    /// list.lost(7, loss(2), false);
+    /// list.record_loss(7, loss(2), false);
     /// assert_eq!(list.verdict(7, at(2)), Verdict::Alone);
-    /// list.lost(7, loss(3), false);
+    /// list.record_loss(7, loss(3), false);
     /// assert!(matches!(list.verdict(7, at(3)), Verdict::Refused { .. }));
     /// ```
     pub fn verdict(&mut self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         let Ok(at) = self.find(fingerprint) else { return Verdict::Clear };
-        if let Some(until) = self.records[at].until {
+        if let Some(until) = self.records[at].refused_until {
             if now < until {
                 return Verdict::Refused { left: until - now };
             }
-            self.release(at);
+            self.end_verdict(at);
         }
         let record = &mut self.records[at];
-        record.losses.retain(|(loss, _)| now < loss.at + MEMORY);
+        record.losses.retain(|(loss, _)| now < loss.at + LOSS_LIFETIME);
         let (losses, last) = (record.losses.len(), record.last());
-        if losses < SUSPECT {
+        if losses < MIN_LOSSES_TO_SUSPECT {
             return Verdict::Clear;
         }
         let (alone, guilty) = self.weigh(at);
         match () {
-            () if alone < ALONE => Verdict::Clear,
-            () if losses < LOSSES => Verdict::Alone,
-            () if guilty >= GUILTY => {
+            () if alone < MIN_WEIGHT_TO_ISOLATE => Verdict::Clear,
+            () if losses < MIN_LOSSES_TO_REFUSE => Verdict::Alone,
+            () if guilty >= MIN_WEIGHT_TO_REFUSE => {
                 let record = &mut self.records[at];
-                (record.until, record.tell, record.told) = (Some(now + HOLD), now, 0);
-                Verdict::Refused { left: HOLD }
+                (record.refused_until, record.resend_at, record.resends) =
+                    (Some(now + REFUSAL_TIME), now, 0);
+                Verdict::Refused { left: REFUSAL_TIME }
+            }
+            () if now < last + UNDECIDED_PAUSE => {
+                Verdict::Later { left: last + UNDECIDED_PAUSE - now }
             }
-            () if now < last + UNCERTAIN => Verdict::Later { left: last + UNCERTAIN - now },
             () => Verdict::Alone,
         }
     }
 
-    /// A run ended with its server; `heard` if another router says so.
-    pub fn lost(&mut self, fingerprint: Fingerprint, loss: Loss, heard: bool) {
+    /// A run ended with its server; `remote` if another router says so.
+    pub fn record_loss(&mut self, fingerprint: Fingerprint, loss: Loss, remote: bool) {
         let now = loss.at;
-        self.ended(loss.start.clone(), now);
+        self.record_end(loss.start.clone(), now);
         if self.completed.holds(fingerprint, now) {
             return;
         }
-        let at = self.entry(fingerprint, now);
+        let at = self.record_index(fingerprint, now);
         let record = &mut self.records[at];
         if record.lost_at(&loss.start) {
             return;
         }
         record.servers += 1;
-        record.losses.push((loss, heard));
-        if record.losses.len() > KEPT {
+        record.losses.push((loss, remote));
+        if record.losses.len() > MAX_LOSSES_KEPT {
             record.losses.remove(0);
         }
     }
 
     /// A server has ended, whatever ran there.
-    pub fn ended(&mut self, start: Start, now: Duration) {
+    pub fn record_end(&mut self, start: Start, now: Duration) {
         if self.ended.iter().any(|(known, _)| *known == start) {
             return;
         }
-        if self.ended.len() >= ENDED {
+        if self.ended.len() >= MAX_ENDED_SERVERS {
             self.ended.remove(0);
         }
         self.ended.push((start, now));
@@ -280,7 +283,7 @@
     /// use policy::crash::{List, Loss, Start, Verdict};
     /// let (mut list, at) = (List::default(), Duration::from_secs);
     /// let loss = |n| Loss { start: Start { id: format!("vm-{n}"), born: 1 }, at: at(n), events: 4 };
-    /// (1..4).for_each(|n| list.lost(7, loss(n), false));
+    /// (1..4).for_each(|n| list.record_loss(7, loss(n), false));
     /// list.reached(7, 4);
     /// assert!(matches!(list.verdict(7, at(4)), Verdict::Refused { .. }));
     /// list.reached(7, 5);
@@ -289,23 +292,24 @@
     pub fn reached(&mut self, fingerprint: Fingerprint, events: u64) {
         let Ok(at) = self.find(fingerprint) else { return };
         let record = &mut self.records[at];
-        let (before, refused) = (record.losses.len(), record.until.is_some());
+        let (before, refused) = (record.losses.len(), record.refused_until.is_some());
         let past = |loss: &Loss| loss.events < events;
-        let told = refused || record.losses.iter().any(|(loss, told)| *told && past(loss));
+        let known_elsewhere =
+            refused || record.losses.iter().any(|(loss, sent)| *sent && past(loss));
         record.losses.retain(|(loss, _)| !past(loss));
         let left = record.losses.len();
         if left > 0 || (before == 0 && events < u64::MAX) {
             return;
         }
         self.records.remove(at);
-        if told && self.cleared.len() < LIMIT {
+        if known_elsewhere && self.cleared.len() < MAX_SUSPECTS {
             self.cleared.push((fingerprint, refused));
         }
     }
 
     /// A request came to its end.
     pub fn completed(&mut self, fingerprint: Fingerprint, now: Duration) {
-        self.completed.note(fingerprint, now);
+        self.completed.record(fingerprint, now);
         self.reached(fingerprint, u64::MAX);
     }
 
@@ -313,16 +317,16 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use policy::crash::{HOLD, List, Verdict};
+    /// use policy::crash::{REFUSAL_TIME, List, Verdict};
     /// let (mut list, at) = (List::default(), Duration::from_secs);
-    /// list.refuse(7, HOLD, 3, at(1), 0.0);
+    /// list.refuse(7, REFUSAL_TIME, 3, at(1), 0.0);
     /// list.clear(7, at(2));
     /// // A word of before that comes late changes nothing.
-    /// list.refuse(7, HOLD, 3, at(3), 0.0);
+    /// list.refuse(7, REFUSAL_TIME, 3, at(3), 0.0);
     /// assert_eq!(list.verdict(7, at(3)), Verdict::Clear);
     /// ```
     pub fn clear(&mut self, fingerprint: Fingerprint, now: Duration) {
-        self.completed.note(fingerprint, now);
+        self.completed.record(fingerprint, now);
         if let Ok(at) = self.find(fingerprint) {
             self.records.remove(at);
         }
@@ -344,47 +348,58 @@
         left: Duration,
         servers: u32,
         now: Duration,
-        luck: f64,
+        jitter: f64,
     ) {
         if left.is_zero() || self.completed.holds(fingerprint, now) {
             return;
         }
-        let at = self.entry(fingerprint, now);
+        let at = self.record_index(fingerprint, now);
         let record = &mut self.records[at];
-        let until = (now + left.min(HOLD)).max(record.until.unwrap_or_default());
-        (record.until, record.servers) = (Some(until), record.servers.max(servers));
-        (record.tell, record.told) = (now + AGAIN.mul_f64(1.0 + luck), SOON_TOLD);
+        let until = (now + left.min(REFUSAL_TIME)).max(record.refused_until.unwrap_or_default());
+        (record.refused_until, record.servers) = (Some(until), record.servers.max(servers));
+        (record.resend_at, record.resends) =
+            (now + RESEND_INTERVAL.mul_f64(1.0 + jitter), FAST_RESENDS);
     }
 
-    /// What others have to know now. `luck` is a random number below one, which keeps routers from telling the same at
+    /// What others have to know now. `jitter` is a random number below one, which keeps routers from telling the same at
     /// the same time.
-    pub fn news(&mut self, now: Duration, luck: f64) -> News {
-        let counts = |r: &Record| !r.losses.is_empty() && now < r.last() + MEMORY;
+    pub fn take_update(&mut self, now: Duration, jitter: f64) -> Update {
+        let counts = |r: &Record| !r.losses.is_empty() && now < r.last() + LOSS_LIFETIME;
         self.records.retain(|r| r.is_refused(now) || counts(r));
-        let mut news = News { cleared: std::mem::take(&mut self.cleared), ..News::default() };
+        let mut update = Update { cleared: std::mem::take(&mut self.cleared), ..Update::default() };
         let mut lost = Vec::new();
         for record in &mut self.records {
             let known = record.losses.len();
-            let due = |loss: &Loss| known >= SUSPECT || loss.at + GATHER <= now;
-            for (loss, told) in record.losses.iter_mut().filter(|(l, told)| !told && due(l)) {
-                *told = true;
+            let due =
+                |loss: &Loss| known >= MIN_LOSSES_TO_SUSPECT || loss.at + FIRST_LOSS_DELAY <= now;
+            for (loss, sent) in record.losses.iter_mut().filter(|(l, sent)| !sent && due(l)) {
+                *sent = true;
                 lost.push((known, record.fingerprint, loss.clone()));
             }
-            if record.is_refused(now) && record.tell <= now {
-                let again = if record.told < SOON_TOLD { SOON } else { AGAIN };
-                (record.tell, record.told) = (now + again.mul_f64(1.0 + luck), record.told + 1);
-                let left = record.until.unwrap_or_default() - now;
-                news.refused.push((record.fingerprint, left, record.servers));
+            if record.is_refused(now) && record.resend_at <= now {
+                let interval = if record.resends < FAST_RESENDS {
+                    FIRST_RESEND_INTERVAL
+                } else {
+                    RESEND_INTERVAL
+                };
+                (record.resend_at, record.resends) =
+                    (now + interval.mul_f64(1.0 + jitter), record.resends + 1);
+                let left = record.refused_until.unwrap_or_default() - now;
+                update.refused.push((record.fingerprint, left, record.servers));
             }
         }
         lost.sort_by_key(|(known, _, loss)| (std::cmp::Reverse(*known), loss.events));
-        news.lost = lost.into_iter().take(TOLD).map(|(_, of, loss)| (of, loss)).collect();
-        news
+        update.lost =
+            lost.into_iter().take(MAX_LOSSES_PER_UPDATE).map(|(_, of, loss)| (of, loss)).collect();
+        update
     }
 
     /// All suspects of more than one loss and all that is refused.
     pub fn entries(&mut self, now: Duration) -> Vec<Entry> {
-        let known = self.records.iter().filter(|r| r.is_refused(now) || r.losses.len() >= SUSPECT);
+        let known = self
+            .records
+            .iter()
+            .filter(|r| r.is_refused(now) || r.losses.len() >= MIN_LOSSES_TO_SUSPECT);
         let known: Vec<Fingerprint> = known.map(|r| r.fingerprint).collect();
         let entry = |fingerprint| {
             let verdict = self.verdict(fingerprint, now);
@@ -402,10 +417,10 @@
     }
 
     /// A verdict has run out: one more loss renews it.
-    fn release(&mut self, at: usize) {
+    fn end_verdict(&mut self, at: usize) {
         let record = &mut self.records[at];
-        record.until = None;
-        let more = record.losses.len().saturating_sub(LOSSES - 1);
+        record.refused_until = None;
+        let more = record.losses.len().saturating_sub(MIN_LOSSES_TO_REFUSE - 1);
         record.losses.drain(..more);
     }
 
@@ -413,13 +428,14 @@
     fn weigh(&self, at: usize) -> (f64, f64) {
         let record = &self.records[at];
         let grave: Vec<&Record> =
-            self.records.iter().filter(|r| r.losses.len() >= LOSSES).collect();
-        let is_explained =
-            |start: &Start| grave.len() <= FEW && grave.iter().any(|r| r.lost_at(start));
+            self.records.iter().filter(|r| r.losses.len() >= MIN_LOSSES_TO_REFUSE).collect();
+        let is_explained = |start: &Start| {
+            grave.len() <= MAX_EXPLAINING_REQUESTS && grave.iter().any(|r| r.lost_at(start))
+        };
         let (mut alone, mut guilty) = (0.0, 0.0);
         for (loss, _) in &record.losses {
             let others = self.ended.iter().filter(|(start, when)| {
-                loss.at.abs_diff(*when) <= TOGETHER
+                loss.at.abs_diff(*when) <= BULK_WINDOW
                     && !record.lost_at(start)
                     && !is_explained(start)
             });
@@ -436,11 +452,11 @@
     }
 
     /// Place of a request's record, which is made if there is none.
-    fn entry(&mut self, fingerprint: Fingerprint, now: Duration) -> usize {
+    fn record_index(&mut self, fingerprint: Fingerprint, now: Duration) -> usize {
         if let Ok(at) = self.find(fingerprint) {
             return at;
         }
-        if self.records.len() >= LIMIT {
+        if self.records.len() >= MAX_SUSPECTS {
             // A flood of suspects must not push out what is refused.
             let place =
                 |i: &usize| (self.records[*i].is_refused(now), self.records[*i].losses.len());
@@ -448,9 +464,12 @@
             least.map(|i| self.records.remove(i));
         }
         let at = self.find(fingerprint).unwrap_or_else(|at| at);
-        let (losses, until) = (Vec::new(), None);
-        let (tell, told) = (Duration::ZERO, 0);
-        self.records.insert(at, Record { fingerprint, losses, servers: 0, until, tell, told });
+        let (losses, refused_until) = (Vec::new(), None);
+        let (resend_at, resends) = (Duration::ZERO, 0);
+        self.records.insert(
+            at,
+            Record { fingerprint, losses, servers: 0, refused_until, resend_at, resends },
+        );
         at
     }
 }
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// Time in which a request counts for a third of what it did.
-const MEMORY: Duration = Duration::from_secs(1);
+const DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// Requests that wanted a worker lately, the newest counting most.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -20,31 +20,31 @@
 
 impl Demand {
     /// Notes a request that wants the worker.
-    pub fn note(&mut self, now: Duration) {
+    pub fn record(&mut self, now: Duration) {
         self.level = self.left(now) + 1.0;
         self.at = now;
     }
 
-    /// Part of the requests that may be sent, if each takes `work` of a worker that gives all routers `part` of its
+    /// Part of the requests that may be sent, if each takes `work` of a worker that gives all routers `capacity` of its
     /// time, and each of `routers` has as many as this one.
     ///
     /// ```
     /// # use std::time::Duration;
     /// let ms = Duration::from_millis;
     /// let mut demand = policy::demand::Demand::default();
-    /// (0..10).for_each(|_| demand.note(ms(1000)));
+    /// (0..10).for_each(|_| demand.record(ms(1000)));
     /// // Ten routers with ten requests each; the worker takes ten in a second.
     /// assert_eq!(demand.share(ms(1000), ms(100), 1.0, 10), 0.1);
     /// assert_eq!(demand.share(ms(9000), ms(100), 1.0, 10), 1.0);
     /// ```
-    pub fn share(&self, now: Duration, work: Duration, part: f64, routers: u32) -> f64 {
-        let rate = self.left(now) / MEMORY.as_secs_f64();
+    pub fn share(&self, now: Duration, work: Duration, capacity: f64, routers: u32) -> f64 {
+        let rate = self.left(now) / DECAY_TIME.as_secs_f64();
         let wanted = work.as_secs_f64() * rate * f64::from(routers.max(1));
-        if wanted <= part { 1.0 } else { part / wanted }
+        if wanted <= capacity { 1.0 } else { capacity / wanted }
     }
 
     fn left(&self, now: Duration) -> f64 {
-        let since = now.saturating_sub(self.at).as_secs_f64() / MEMORY.as_secs_f64();
+        let since = now.saturating_sub(self.at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         self.level * (-since).exp()
     }
 }
--- a/crates/policy/src/entry.rs
+++ b/crates/policy/src/entry.rs
@@ -16,7 +16,7 @@
 
 /// A request as the decision sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct Request {
     /// Whose it is.
     pub workspace: String,
     /// Higher goes first among workspaces inside their share.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Entry<T> {
     /// The request.
-    pub ask: Ask,
+    pub request: Request,
     /// When it arrived.
     pub arrival: Duration,
     /// Its name while it waits.
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -8,20 +8,20 @@
 
 use std::time::Duration;
 
-use crate::queue::{Ask, Queue};
-use crate::refusal::{OUTAGE, Reason, Refusal, SOON};
+use crate::queue::{Queue, Request};
+use crate::refusal::{MIN_RETRY_AFTER, OUTAGE_RETRY_AFTER, Reason, Refusal};
 use crate::room::Room;
 
 /// Factor on the part of an estimated wait that is due to requests that come later and go first. At 1 most of the
 /// middling requests that were let in at the edge were given up later; at 1.5 a burst refuses what it could do.
-pub const MARGIN: f64 = 1.25;
+pub const OVERTAKING_FACTOR: f64 = 1.25;
 
 /// Bound of an estimated wait, relative to the time that all that waits now takes. Without one, the middling
 /// requests that come at the end of a burst are refused although the queue soon runs empty.
-pub const CATCH_UP: f64 = 1.25;
+pub const MAX_WAIT_RATIO: f64 = 1.25;
 
 /// No request runs longer; an absurd time must not make the sums overflow.
-const LONGEST: Duration = Duration::from_secs(24 * 60 * 60);
+const MAX_RUN: Duration = Duration::from_secs(24 * 60 * 60);
 
 impl<T> Queue<T> {
     /// Seconds until a request of workspace `i` starts that has `ahead` seconds of its own
@@ -42,35 +42,36 @@
 
     /// True when it would miss its deadline even if it started now. Midway between the run
     /// asked for and the usual one: some answers are short, but the caller may get all it asked for.
-    pub(crate) fn hopeless(&self, ask: &Ask, now: Duration) -> bool {
-        ask.run > LONGEST || now.checked_add(ask.run).is_none_or(|end| end > ask.deadline)
+    pub(crate) fn misses_deadline(&self, request: &Request, now: Duration) -> bool {
+        request.run > MAX_RUN
+            || now.checked_add(request.run).is_none_or(|end| end > request.deadline)
     }
 
     pub(crate) fn refusal(
         &self,
         i: usize,
-        ask: &Ask,
+        request: &Request,
         room: Room,
         now: Duration,
     ) -> Option<Refusal> {
         let refuse = |reason, seconds: Option<f64>| {
-            let retry_after = seconds.map(|s| Duration::from_secs_f64(s).max(SOON));
+            let retry_after = seconds.map(|s| Duration::from_secs_f64(s).max(MIN_RETRY_AFTER));
             Some(Refusal { reason, retry_after })
         };
-        if self.hopeless(ask, now) {
+        if self.misses_deadline(request, now) {
             return refuse(Reason::Long, None);
         }
-        let Some(wait) = self.arrival_wait(i, ask, room, now) else {
-            return refuse(Reason::Outage, Some(OUTAGE.as_secs_f64()));
+        let Some(wait) = self.arrival_wait(i, request, room, now) else {
+            return refuse(Reason::Outage, Some(OUTAGE_RETRY_AFTER.as_secs_f64()));
         };
         let (own, limit) = (&self.waiting[i], self.workspaces[i].share.limit as usize);
-        let end = wait + self.expected(ask.run.as_secs_f64());
-        let left = ask.deadline.saturating_sub(now).as_secs_f64();
+        let end = wait + self.expected(request.run.as_secs_f64());
+        let left = request.deadline.saturating_sub(now).as_secs_f64();
         match own.len() >= limit && self.backlogged() {
             _ if limit == 0 => refuse(Reason::Limit, None),
             _ if end > left => refuse(Reason::Deadline, Some(end - left)),
             true => {
-                let first = own.last().map_or(0.0, |e| e.ask.run.as_secs_f64());
+                let first = own.last().map_or(0.0, |e| e.request.run.as_secs_f64());
                 refuse(Reason::Limit, self.wait(i, first, 0.0, room))
             }
             false => None,
@@ -81,20 +82,21 @@
     pub(crate) fn arrival_wait(
         &self,
         i: usize,
-        ask: &Ask,
+        request: &Request,
         room: Room,
         now: Duration,
     ) -> Option<f64> {
         let (workspace, own) = (&self.workspaces[i], &self.waiting[i]);
-        let behind = ask.run.mul_f64(self.tuning.stretch);
+        let behind = request.run.mul_f64(self.tuning.stretch);
         let before = own.iter().rev().take_while(|e| e.key <= now + behind);
-        let ahead: f64 = before.map(|e| e.ask.run.as_secs_f64()).sum();
+        let ahead: f64 = before.map(|e| e.request.run.as_secs_f64()).sum();
         let extra = if own.is_empty() { workspace.weight() } else { 0.0 };
         let wait = self.wait(i, ahead, extra, room)?;
-        let margin = behind.as_secs_f64() * self.tuning.margin;
+        let margin = behind.as_secs_f64() * self.tuning.overtaking_factor;
         let passed = workspace.lag.map_or(0.0, |lag| lag + margin);
         // After a burst the order catches up: no wait is much longer than all that waits now takes.
-        let drained = self.expected(self.backlog) / room.width(self.running) * self.tuning.catch_up;
+        let drained =
+            self.expected(self.backlog) / room.width(self.running) * self.tuning.max_wait_ratio;
         Some(wait.max(passed.min(drained)))
     }
 }
--- a/crates/policy/src/fill.rs
+++ b/crates/policy/src/fill.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Time for which is kept what was sent.
-const KEPT: Duration = Duration::from_secs(4);
+const RETENTION: Duration = Duration::from_secs(4);
 
 /// Work that one router sent to one server lately.
 #[derive(Debug, Clone, Default)]
@@ -19,8 +19,8 @@
 
 impl Sent {
     /// Notes work that is sent.
-    pub fn note(&mut self, now: Duration, work: f64) {
-        while self.0.front().is_some_and(|(at, _)| *at + KEPT < now) {
+    pub fn record(&mut self, now: Duration, work: f64) {
+        while self.0.front().is_some_and(|(at, _)| *at + RETENTION < now) {
             self.0.pop_front();
         }
         self.0.push_back((now, work));
@@ -34,7 +34,7 @@
 
 /// Work that a server had some time ago.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Told {
+pub struct Report {
     /// The work, of all routers.
     pub work: f64,
     /// When it had that.
@@ -43,21 +43,21 @@
     pub lasting: Duration,
 }
 
-impl Told {
+impl Report {
     /// The work it has at `now`, if all routers together send `ratio` times what this one has sent.
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::fill::{Sent, Told};
+    /// use policy::fill::{Sent, Report};
     /// let ms = Duration::from_millis;
-    /// let told = Told { work: 100.0, at: ms(1000), lasting: ms(1000) };
+    /// let report = Report { work: 100.0, at: ms(1000), lasting: ms(1000) };
     /// let mut sent = Sent::default();
-    /// sent.note(ms(900), 1.0);
-    /// sent.note(ms(1200), 1.0);
+    /// sent.record(ms(900), 1.0);
+    /// sent.record(ms(1200), 1.0);
     /// // Half of what ran has ended, and each of ten routers has sent as much as this one.
-    /// assert_eq!(told.now(ms(1500), &sent, 10.0), 60.0);
+    /// assert_eq!(report.estimate(ms(1500), &sent, 10.0), 60.0);
     /// ```
-    pub fn now(&self, now: Duration, sent: &Sent, ratio: f64) -> f64 {
+    pub fn estimate(&self, now: Duration, sent: &Sent, ratio: f64) -> f64 {
         let age = now.saturating_sub(self.at).as_secs_f64();
         let left = 1.0 - age / self.lasting.as_secs_f64().max(f64::MIN_POSITIVE);
         self.work * left.max(0.0) + sent.since(self.at) * ratio
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -6,12 +6,12 @@
 //! choices send it more than its share.
 //!
 //! A fixed limit on the step time fails on mixed accelerators, so a replica is
-//! compared with the median of its range. [`SLOW`] is above the spread of sound
+//! compared with the median of its range. [`SLOW_FACTOR`] is above the spread of sound
 //! accelerators (a factor of about three) and below the faults that matter. It must be slow in
-//! [`STRIKES`] reports in a row, since one long batch is no fault. At most one in
+//! [`FAULTS_TO_EJECT`] reports in a row, since one long batch is no fault. At most one in
 //! [`SLOW_CAP`] is ejected for slowness and one in [`FAIL_CAP`] for failures: when most look bad, the
 //! cause is elsewhere, and ejecting them would put their load on the rest.
-//! Each ejection of a replica lasts twice as long as the last, from [`EJECT`] to [`EJECT_MAX`]; then it is
+//! Each ejection of a replica lasts twice as long as the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is
 //! probed with one request, and each success doubles what it may hold.
 
 use std::time::Duration;
@@ -19,10 +19,10 @@
 use crate::tuning::Tuning;
 
 /// Step time relative to the range's median at which a replica is too slow.
-pub const SLOW: f64 = 4.0;
+pub const SLOW_FACTOR: f64 = 4.0;
 
 /// Consecutive slow reports, or failures among the last results, that eject.
-pub const STRIKES: u8 = 3;
+pub const FAULTS_TO_EJECT: u8 = 3;
 
 /// At most one in this many replicas of a range is ejected for slowness.
 pub const SLOW_CAP: usize = 5;
@@ -31,10 +31,10 @@
 pub const FAIL_CAP: usize = 2;
 
 /// Length of a first ejection.
-pub const EJECT: Duration = Duration::from_secs(5);
+pub const MIN_EJECTION: Duration = Duration::from_secs(5);
 
 /// Length of the longest ejection.
-pub const EJECT_MAX: Duration = Duration::from_secs(60);
+pub const MAX_EJECTION: Duration = Duration::from_secs(60);
 
 /// Why a replica is ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -68,11 +68,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use policy::health::{Health, Peers, State, STRIKES};
+/// use policy::health::{Health, Peers, State, FAULTS_TO_EJECT};
 /// use policy::tuning::Tuning;
 /// let peers = Peers { replicas: 10, ejected: 0, median_us: 10_000.0 };
 /// let (mut health, tuning, now) = (Health::default(), Tuning::default(), Duration::ZERO);
-/// let out = (0..STRIKES).any(|_| health.step(90_000.0, true, peers, &tuning, now));
+/// let out = (0..FAULTS_TO_EJECT).any(|_| health.step(90_000.0, true, peers, &tuning, now));
 /// assert!(out && matches!(health.state(now), State::Ejected { .. }));
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -140,7 +140,7 @@
         now: Duration,
     ) -> bool {
         let known = busy && step_us > 0.0 && peers.median_us > 0.0;
-        match step_us > tuning.slow * peers.median_us {
+        match step_us > tuning.slow_factor * peers.median_us {
             _ if !known => false,
             false => {
                 self.slow = 0;
@@ -148,7 +148,7 @@
             }
             true => {
                 self.slow = self.slow.saturating_add(1);
-                self.slow >= tuning.strikes && self.eject(Cause::Slow, peers, tuning, now)
+                self.slow >= tuning.faults_to_eject && self.eject(Cause::Slow, peers, tuning, now)
             }
         }
     }
@@ -170,7 +170,7 @@
     /// for want of slots. True when this ejects it.
     pub fn failed(&mut self, peers: Peers, tuning: &Tuning, now: Duration) -> bool {
         self.failed = self.failed.saturating_add(1);
-        self.failed >= tuning.strikes && self.eject(Cause::Failing, peers, tuning, now)
+        self.failed >= tuning.faults_to_eject && self.eject(Cause::Failing, peers, tuning, now)
     }
 
     fn eject(&mut self, cause: Cause, peers: Peers, tuning: &Tuning, now: Duration) -> bool {
@@ -184,10 +184,10 @@
         if !(probing || live && room) {
             return false;
         }
-        let time = tuning.eject.saturating_mul(1 << self.ejections.min(8)).min(EJECT_MAX);
+        let time = tuning.min_ejection.saturating_mul(1 << self.ejections.min(8)).min(MAX_EJECTION);
         self.state = State::Ejected { until: now + time, cause };
         self.ejections = self.ejections.saturating_add(1);
-        (self.slow, self.failed) = (tuning.strikes - 1, tuning.strikes - 1);
+        (self.slow, self.failed) = (tuning.faults_to_eject - 1, tuning.faults_to_eject - 1);
         true
     }
 }
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -30,7 +30,7 @@
 }
 
 /// Shortest silence after which a stage is given up: pauses below it are common on a busy VM.
-pub const SILENCE_MIN: Duration = Duration::from_millis(250);
+pub const MIN_SILENCE: Duration = Duration::from_millis(250);
 
 impl Objective {
     /// What this objective stands for.
@@ -62,7 +62,7 @@
     /// assert_eq!(silence, Duration::from_millis(500));
     /// ```
     pub fn silence(&self, step: Duration, longest: Duration) -> Duration {
-        step.saturating_mul(self.silence).max(SILENCE_MIN).min(longest)
+        step.saturating_mul(self.silence).max(MIN_SILENCE).min(longest)
     }
 }
 
--- a/crates/policy/src/missing.rs
+++ b/crates/policy/src/missing.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 /// Time to come back right after a loss: it is noticed in half a second, and loaded in one to one and a half.
-pub const SHORTEST: Duration = Duration::from_millis(1800);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(1800);
 
 /// Longest time to come back. Callers have some twenty seconds and come back within a third.
-pub const LONGEST: Duration = Duration::from_millis(4500);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_millis(4500);
 
 /// Time after the last refusal from which on the next one is of another loss.
-const APART: Duration = Duration::from_secs(3);
+const MAX_REFUSAL_GAP: Duration = Duration::from_secs(3);
 
 /// For how long a part of a model has been missing, as the requests of one router found.
 #[derive(Debug, Clone, Copy, Default)]
@@ -26,7 +26,7 @@
 
 impl Missing {
     /// Notes that a request found all parts.
-    pub fn ends(&mut self) {
+    pub fn found(&mut self) {
         self.refused = None;
     }
 
@@ -34,22 +34,22 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::missing::{LONGEST, Missing, SHORTEST};
+    /// use policy::missing::{MAX_RETRY_AFTER, Missing, MIN_RETRY_AFTER};
     /// let (mut missing, start) = (Missing::default(), Duration::from_secs(10));
-    /// assert_eq!(missing.refused(start), SHORTEST);
+    /// assert_eq!(missing.refused(start), MIN_RETRY_AFTER);
     /// let second = Duration::from_secs(1);
     /// (1..4).for_each(|n| drop(missing.refused(start + n * second)));
     /// assert_eq!(missing.refused(start + 4 * second), 4 * second);
-    /// assert_eq!(missing.refused(start + 6 * second), LONGEST);
-    /// missing.ends();
-    /// assert_eq!(missing.refused(start + 7 * second), SHORTEST);
+    /// assert_eq!(missing.refused(start + 6 * second), MAX_RETRY_AFTER);
+    /// missing.found();
+    /// assert_eq!(missing.refused(start + 7 * second), MIN_RETRY_AFTER);
     /// // Long after that, something else is missing.
-    /// assert_eq!(missing.refused(start + 60 * second), SHORTEST);
+    /// assert_eq!(missing.refused(start + 60 * second), MIN_RETRY_AFTER);
     /// ```
     pub fn refused(&mut self, now: Duration) -> Duration {
-        let known = self.refused.filter(|(_, last)| now < *last + APART);
+        let known = self.refused.filter(|(_, last)| now < *last + MAX_REFUSAL_GAP);
         let first = known.map_or(now, |(first, _)| first);
         self.refused = Some((first, now));
-        now.saturating_sub(first).clamp(SHORTEST, LONGEST)
+        now.saturating_sub(first).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 }
--- a/crates/policy/src/pick.rs
+++ b/crates/policy/src/pick.rs
@@ -7,7 +7,7 @@
 use rand::{Rng, RngExt};
 
 /// Weight of the newest time in the mean. At a tenth, some ten requests move it.
-const NEWEST: f64 = 0.1;
+const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Mean time of a server's answers, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -25,7 +25,7 @@
 impl Pace {
     /// Adds a measured time.
     pub fn add(&mut self, ms: f64) {
-        self.mean += NEWEST * (ms - self.mean);
+        self.mean += SAMPLE_WEIGHT * (ms - self.mean);
     }
 
     /// Mean time in milliseconds.
@@ -48,13 +48,13 @@
 }
 
 /// Cost of another data centre, as a factor on the expected time. Small: what is sent is short.
-const FAR: f64 = 1.1;
+const REMOTE_FACTOR: f64 = 1.1;
 
 impl Choice {
     /// Expected time of one more request, in milliseconds.
     fn expected(&self) -> f64 {
         let load = 1.0 + f64::from(self.running) / f64::from(self.slots.max(1));
-        self.pace.mean() * load * if self.near { 1.0 } else { FAR }
+        self.pace.mean() * load * if self.near { 1.0 } else { REMOTE_FACTOR }
     }
 }
 
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -8,12 +8,12 @@
 //! cleared, one that runs at a second crash is refused everywhere for a set time. Two crashes
 //! are the fewest that tell the culprit from those beside it. Agents list both kinds in their reports,
 //! and a suspect learnt from a peer counts the crash it had there.
-//! At most [`LIMIT`] fingerprints are kept; the oldest suspect goes first.
+//! At most [`MAX_FINGERPRINTS`] fingerprints are kept; the oldest suspect goes first.
 
 use std::time::Duration;
 
 /// Fingerprints kept at most.
-pub const LIMIT: usize = 1024;
+pub const MAX_FINGERPRINTS: usize = 1024;
 
 /// Bytes for each fingerprint.
 pub const BYTES: usize = size_of::<Record>();
@@ -69,7 +69,7 @@
     }
 
     /// Holds what is put in from now on for another time.
-    pub fn hold_for(&mut self, hold: Duration) {
+    pub fn set_hold(&mut self, hold: Duration) {
         self.hold = hold;
     }
 
@@ -79,7 +79,7 @@
     /// use std::time::Duration;
     /// use policy::quarantine::{List, Verdict};
     /// let mut list = List::new(Duration::from_secs(600));
-    /// list.learn(&[], &[7], Duration::ZERO);
+    /// list.merge(&[], &[7], Duration::ZERO);
     /// list.lift(7);
     /// assert_eq!(list.verdict(7, Duration::ZERO), Verdict::Clear);
     /// ```
@@ -101,8 +101,8 @@
     pub fn crashed(&mut self, running: &[Fingerprint], now: Duration) -> Vec<Fingerprint> {
         let second = |f: &Fingerprint| self.verdict(*f, now) != Verdict::Clear;
         let (refused, suspects): (Vec<_>, Vec<_>) = running.iter().copied().partition(second);
-        refused.iter().for_each(|f| self.put(*f, true, now));
-        suspects.iter().for_each(|f| self.put(*f, false, now));
+        refused.iter().for_each(|f| self.insert(*f, true, now));
+        suspects.iter().for_each(|f| self.insert(*f, false, now));
         refused
     }
 
@@ -117,15 +117,15 @@
     }
 
     /// Takes over what a peer reports. What is refused here stays refused.
-    pub fn learn(&mut self, suspects: &[Fingerprint], refused: &[Fingerprint], now: Duration) {
+    pub fn merge(&mut self, suspects: &[Fingerprint], refused: &[Fingerprint], now: Duration) {
         for &fingerprint in suspects {
             if self.verdict(fingerprint, now) == Verdict::Clear {
-                self.put(fingerprint, false, now);
+                self.insert(fingerprint, false, now);
             }
         }
         for &fingerprint in refused {
             if !matches!(self.verdict(fingerprint, now), Verdict::Refused { .. }) {
-                self.put(fingerprint, true, now);
+                self.insert(fingerprint, true, now);
             }
         }
     }
@@ -149,16 +149,16 @@
         self.records.binary_search_by_key(&fingerprint, |r| r.fingerprint)
     }
 
-    fn put(&mut self, fingerprint: Fingerprint, refused: bool, now: Duration) {
+    fn insert(&mut self, fingerprint: Fingerprint, refused: bool, now: Duration) {
         let record = Record { fingerprint, until: now + self.hold, refused };
         match self.find(fingerprint) {
             Ok(i) => self.records[i] = record,
             Err(i) => self.records.insert(i, record),
         }
-        if self.records.len() > LIMIT {
+        if self.records.len() > MAX_FINGERPRINTS {
             self.records.retain(|r| r.until > now);
         }
-        if self.records.len() > LIMIT {
+        if self.records.len() > MAX_FINGERPRINTS {
             // A caller could push its own refused fingerprint out with many that only are suspects.
             let place = |&i: &usize| (self.records[i].refused, self.records[i].until);
             let oldest = (0..self.records.len()).min_by_key(place);
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -17,8 +17,8 @@
 
 use std::time::Duration;
 
-pub use crate::entry::{Admit, Ask, Entry, Ticket, WAITING_BYTES};
-use crate::refusal::{OUTAGE, Reason, Refusal, SOON};
+pub use crate::entry::{Admit, Entry, Request, Ticket, WAITING_BYTES};
+use crate::refusal::{MIN_RETRY_AFTER, OUTAGE_RETRY_AFTER, Reason, Refusal};
 use crate::room::Room;
 use crate::share::{Clock, Share, Workspace};
 use crate::tuning::Tuning;
@@ -31,28 +31,28 @@
 
 /// A waiting request is given up when its estimated start is late by more than
 /// this part of its time left. The estimate is coarse; at 0 requests that would make it are thrown away.
-pub const DOUBT: f64 = 0.25;
+pub const LATENESS_TOLERANCE: f64 = 0.25;
 
 /// Weight of one finished request in the smoothed ratio of used to asked run time.
-const SMOOTH: f64 = 0.02;
+const SMOOTHING: f64 = 0.02;
 
 /// Requests of one model or plain service that wait at one router.
 ///
 /// ```
 /// use std::time::Duration;
-/// use policy::queue::{Admit, Ask, Queue};
+/// use policy::queue::{Admit, Request, Queue};
 /// use policy::{room::Room, share::Share};
 /// let secs = Duration::from_secs;
 /// let share = Share { workspace: "north".into(), weight: 1, limit: 100 };
 /// let mut queue = Queue::new(vec![share]);
-/// let ask = Ask { workspace: "north".into(), priority: 5, run: secs(2), deadline: secs(30) };
+/// let request = Request { workspace: "north".into(), priority: 5, run: secs(2), deadline: secs(30) };
 /// let full = Room { free: 0, slots: 8, routers: 1 };
-/// let Admit::Wait(_) = queue.admit(ask, "a draft", full, secs(0)) else { panic!() };
+/// let Admit::Wait(_) = queue.admit(request, "a draft", full, secs(0)) else { panic!() };
 /// // A reply came in, so a slot is free.
 /// let entry = queue.next(Room { free: 1, ..full }, secs(1)).unwrap();
 /// assert_eq!(entry.item, "a draft");
 /// // The agent refused it for want of slots: it keeps its place, and nothing is lost.
-/// queue.back(entry);
+/// queue.requeue(entry);
 /// assert_eq!((queue.waiting(), queue.running()), (1, 0));
 /// // It can't end before its deadline any more.
 /// let refused = queue.expired(full, secs(29));
@@ -95,7 +95,7 @@
             tickets: 0,
             tuning: Tuning::default(),
         };
-        queue.set(shares);
+        queue.set_shares(shares);
         queue
     }
 
@@ -110,9 +110,9 @@
     /// ```
     /// use policy::{queue::Queue, share::Share};
     /// let mut queue: Queue<u64> = Queue::new(Vec::new());
-    /// queue.set(vec![Share { workspace: "north".into(), weight: 3, limit: 100 }]);
+    /// queue.set_shares(vec![Share { workspace: "north".into(), weight: 3, limit: 100 }]);
     /// ```
-    pub fn set(&mut self, mut shares: Vec<Share>) {
+    pub fn set_shares(&mut self, mut shares: Vec<Share>) {
         shares.sort_by(|a, b| a.workspace.cmp(&b.workspace));
         for i in (0..self.workspaces.len()).rev() {
             let idle = self.waiting[i].is_empty() && self.workspaces[i].running == 0;
@@ -139,7 +139,7 @@
                 }
             }
         }
-        (0..self.waiting.len()).for_each(|i| self.note_next(i));
+        (0..self.waiting.len()).for_each(|i| self.update_next(i));
         let active = self.workspaces.iter().zip(&self.waiting).filter(|(_, q)| !q.is_empty());
         self.weights = active.map(|(w, _)| w.weight()).sum();
     }
@@ -148,33 +148,33 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use policy::{queue::{Admit, Ask, Queue}, room::Room, share::Share};
+    /// use policy::{queue::{Admit, Request, Queue}, room::Room, share::Share};
     /// let share = Share { workspace: "north".into(), weight: 1, limit: 100 };
     /// let mut queue = Queue::new(vec![share]);
-    /// let ask = Ask {
+    /// let request = Request {
     ///     workspace: "north".into(),
     ///     priority: 5,
     ///     run: Duration::from_secs(2),
     ///     deadline: Duration::from_secs(30),
     /// };
     /// let room = Room { free: 1, slots: 8, routers: 1 };
-    /// let admit = queue.admit(ask, "a draft", room, Duration::ZERO);
+    /// let admit = queue.admit(request, "a draft", room, Duration::ZERO);
     /// assert!(matches!(admit, Admit::Start(_)));
     /// ```
-    pub fn admit(&mut self, ask: Ask, item: T, room: Room, now: Duration) -> Admit<T> {
-        let Ok(i) = self.find(&ask.workspace) else {
+    pub fn admit(&mut self, request: Request, item: T, room: Room, now: Duration) -> Admit<T> {
+        let Ok(i) = self.find(&request.workspace) else {
             return Admit::Refuse(item, Refusal { reason: Reason::Limit, retry_after: None });
         };
-        if let Some(refusal) = self.refusal(i, &ask, room, now) {
+        if let Some(refusal) = self.refusal(i, &request, room, now) {
             return Admit::Refuse(item, refusal);
         }
         self.tickets += 1;
-        let key = now + ask.run.mul_f64(self.tuning.stretch);
-        let entry = Entry { ask, arrival: now, ticket: self.tickets, item, key };
-        match self.backlogged() || !room.may_start(self.running, self.tuning.left_free) {
+        let key = now + request.run.mul_f64(self.tuning.stretch);
+        let entry = Entry { request, arrival: now, ticket: self.tickets, item, key };
+        match self.backlogged() || !room.may_start(self.running, self.tuning.free_reserve_ratio) {
             true => Admit::Wait(self.insert(i, entry)),
             false => {
-                self.clock.wake(&mut self.workspaces[i]);
+                self.clock.activate(&mut self.workspaces[i]);
                 self.start(i, &entry);
                 Admit::Start(entry)
             }
@@ -187,24 +187,24 @@
         self.next_by(room, now, |_| 0)
     }
 
-    /// The same where `likes` says how well a request suits the free slots: of requests that may go with equal
-    /// right the one that suits best goes, see [`crate::route::Table::likes`].
+    /// The same where `affinity` says how well a request suits the free slots: of requests that may go with equal
+    /// right the one that suits best goes, see [`crate::route::Table::cached_ranges`].
     pub fn next_by(
         &mut self,
         room: Room,
         now: Duration,
-        likes: impl Fn(&T) -> u32,
+        affinity: impl Fn(&T) -> u32,
     ) -> Option<Entry<T>> {
-        if !room.may_start(self.running, self.tuning.left_free) {
+        if !room.may_start(self.running, self.tuning.free_reserve_ratio) {
             return None;
         }
         loop {
             let heads = self.workspaces.iter().enumerate().filter_map(|(i, w)| w.head(i));
             let i = self.clock.pick(heads, self.tuning.quantum, |i| {
-                self.waiting[i].last().map_or(0, |e| likes(&e.item))
+                self.waiting[i].last().map_or(0, |e| affinity(&e.item))
             })?;
             let entry = self.take(i, self.waiting[i].len() - 1);
-            match self.hopeless(&entry.ask, now) {
+            match self.misses_deadline(&entry.request, now) {
                 true => self.late.push(entry),
                 false => {
                     let lag = now.as_secs_f64() - entry.key.as_secs_f64();
@@ -223,12 +223,13 @@
         for i in 0..self.waiting.len() {
             let mut ahead = 0.0;
             for at in (0..self.waiting[i].len()).rev() {
-                let ask = &self.waiting[i][at].ask;
-                let run = ask.run.as_secs_f64();
-                let start = self.wait(i, ahead, 0.0, room).unwrap_or(OUTAGE.as_secs_f64());
-                let left = ask.deadline.saturating_sub(now).as_secs_f64();
-                if self.hopeless(ask, now)
-                    || start + self.expected(run) > left * (1.0 + self.tuning.doubt)
+                let request = &self.waiting[i][at].request;
+                let run = request.run.as_secs_f64();
+                let start =
+                    self.wait(i, ahead, 0.0, room).unwrap_or(OUTAGE_RETRY_AFTER.as_secs_f64());
+                let left = request.deadline.saturating_sub(now).as_secs_f64();
+                if self.misses_deadline(request, now)
+                    || start + self.expected(run) > left * (1.0 + self.tuning.lateness_tolerance)
                 {
                     let entry = self.take(i, at);
                     self.late.push(entry);
@@ -241,22 +242,24 @@
         let late = std::mem::take(&mut self.late);
         late.into_iter()
             .map(|entry| {
-                let place = self.find(&entry.ask.workspace).ok();
+                let place = self.find(&entry.request.workspace).ok();
                 let wait = place.and_then(|i| self.wait(i, self.workspaces[i].backlog, 0.0, room));
-                let retry_after = wait.map_or(OUTAGE, |s| Duration::from_secs_f64(s).max(SOON));
+                let retry_after = wait.map_or(OUTAGE_RETRY_AFTER, |s| {
+                    Duration::from_secs_f64(s).max(MIN_RETRY_AFTER)
+                });
                 (entry, Refusal { reason, retry_after: Some(retry_after) })
             })
             .collect()
     }
 
     /// A started request has ended after holding its slots for `held`; or was not run.
-    pub fn done(&mut self, ask: &Ask, held: Duration) {
+    pub fn done(&mut self, request: &Request, held: Duration) {
         self.running = self.running.saturating_sub(1);
-        let (asked, held) = (ask.run.as_secs_f64().max(1e-6), held.as_secs_f64());
+        let (asked, held) = (request.run.as_secs_f64().max(1e-6), held.as_secs_f64());
         if held > 0.0 {
-            self.used += SMOOTH * ((held / asked).clamp(0.01, 4.0) - self.used);
+            self.used += SMOOTHING * ((held / asked).clamp(0.01, 4.0) - self.used);
         }
-        if let Ok(i) = self.find(&ask.workspace) {
+        if let Ok(i) = self.find(&request.workspace) {
             let workspace = &mut self.workspaces[i];
             workspace.running = workspace.running.saturating_sub(1);
             // Callers name more tokens than the answer has: what was not used is given back.
@@ -265,9 +268,9 @@
     }
 
     /// Puts a started request back that was not run, at its old place.
-    pub fn back(&mut self, entry: Entry<T>) {
-        self.done(&entry.ask, Duration::ZERO);
-        match self.find(&entry.ask.workspace) {
+    pub fn requeue(&mut self, entry: Entry<T>) {
+        self.done(&entry.request, Duration::ZERO);
+        match self.find(&entry.request.workspace) {
             Ok(i) => {
                 self.insert(i, entry);
             }
@@ -277,8 +280,8 @@
 
     /// Puts a started request back that lost its backend server, before all others of its workspace: its
     /// caller was told that it runs and may have part of the answer.
-    pub fn lost(&mut self, entry: Entry<T>) {
-        self.back(Entry { key: Duration::ZERO, ..entry });
+    pub fn requeue_first(&mut self, entry: Entry<T>) {
+        self.requeue(Entry { key: Duration::ZERO, ..entry });
     }
 
     /// Takes a waiting request out, when its caller has gone.
@@ -316,23 +319,23 @@
     }
 
     fn insert(&mut self, i: usize, entry: Entry<T>) -> Ticket {
-        let (ticket, run) = (entry.ticket, entry.ask.run.as_secs_f64());
+        let (ticket, run) = (entry.ticket, entry.request.run.as_secs_f64());
         let workspace = &mut self.workspaces[i];
         if self.waiting[i].is_empty() {
-            self.clock.wake(workspace);
+            self.clock.activate(workspace);
             self.weights += workspace.weight();
         }
         workspace.backlog += run;
         self.backlog += run;
         let at = self.waiting[i].partition_point(|e| (e.key, e.ticket) > (entry.key, ticket));
         self.waiting[i].insert(at, entry);
-        self.note_next(i);
+        self.update_next(i);
         ticket
     }
 
     fn take(&mut self, i: usize, at: usize) -> Entry<T> {
         let entry = self.waiting[i].remove(at);
-        let run = entry.ask.run.as_secs_f64();
+        let run = entry.request.run.as_secs_f64();
         self.workspaces[i].backlog -= run;
         self.backlog -= run;
         if self.waiting[i].is_empty() {
@@ -340,7 +343,7 @@
             self.workspaces[i].lag = None;
             self.weights -= self.workspaces[i].weight();
         }
-        self.note_next(i);
+        self.update_next(i);
         // Sums of floats keep a rest; an empty queue must not look backlogged for ever.
         if self.weights < 0.5 {
             (self.weights, self.backlog) = (0.0, 0.0);
@@ -348,16 +351,17 @@
         entry
     }
 
-    fn note_next(&mut self, i: usize) {
+    fn update_next(&mut self, i: usize) {
         let weight = self.workspaces[i].weight();
-        let next =
-            self.waiting[i].last().map(|e| (e.ask.run.as_secs_f64() / weight, e.ask.priority));
+        let next = self.waiting[i]
+            .last()
+            .map(|e| (e.request.run.as_secs_f64() / weight, e.request.priority));
         self.workspaces[i].next = next;
     }
 
     fn start(&mut self, i: usize, entry: &Entry<T>) {
         let workspace = &mut self.workspaces[i];
-        self.clock.charge(workspace, entry.ask.run.as_secs_f64());
+        self.clock.charge(workspace, entry.request.run.as_secs_f64());
         workspace.running += 1;
         self.running += 1;
     }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -15,24 +15,24 @@
 pub const WINDOW: Duration = Duration::from_secs(4);
 
 /// Least limit, in requests a second. A server that takes none would never be asked again whether it still does not.
-pub const LEAST: f64 = 0.2;
+pub const MIN_LIMIT: f64 = 0.2;
 
 /// Time for which permits that nobody asks for are saved up.
-const SAVED: Duration = Duration::from_millis(1000);
+const CREDIT_TIME: Duration = Duration::from_millis(1000);
 
 /// Permits that are saved up at least. With less than one beside the next one, part of a low limit is lost while that is
 /// on its way.
-const SAVED_LEAST: f64 = 2.0;
+const MIN_CREDIT_CAP: f64 = 2.0;
 
 /// Time for which a permit may be used.
-const HELD: Duration = Duration::from_millis(500);
+const PERMIT_VALIDITY: Duration = Duration::from_millis(500);
 
 /// Shortest time until a router that got no permit asks again.
-const SOON: Duration = Duration::from_millis(20);
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest time after which a refused caller is told to come back. Callers have some twenty seconds and come back within
 /// a third.
-pub const COME_BACK: Duration = Duration::from_secs(6);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
 
 /// Name of a router.
 pub type Router = String;
@@ -48,31 +48,31 @@
     /// # use std::time::Duration;
     /// let second = Duration::from_secs(1);
     /// let mut sent = policy::quota::Sent::default();
-    /// sent.note(second);
-    /// sent.note(3 * second);
+    /// sent.record(second);
+    /// sent.record(3 * second);
     /// assert_eq!(sent.count(4 * second), 2);
     /// assert_eq!(sent.before(2 * second, 4 * second), (1, Some(second)));
     /// assert_eq!(sent.count(6 * second), 1);
     /// ```
-    pub fn note(&mut self, now: Duration) {
-        self.forget(now);
+    pub fn record(&mut self, now: Duration) {
+        self.expire(now);
         self.0.push_back(now);
     }
 
     /// Requests within [`WINDOW`] before `now`.
     pub fn count(&mut self, now: Duration) -> usize {
-        self.forget(now);
+        self.expire(now);
         self.0.len()
     }
 
     /// Those of them that were sent until `time`, and when the last one was.
     pub fn before(&mut self, time: Duration, now: Duration) -> (u32, Option<Duration>) {
-        self.forget(now);
+        self.expire(now);
         let count = self.0.partition_point(|at| *at <= time);
         (count as u32, count.checked_sub(1).map(|last| self.0[last]))
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn expire(&mut self, now: Duration) {
         while self.0.front().is_some_and(|at| *at + WINDOW <= now) {
             self.0.pop_front();
         }
@@ -81,7 +81,7 @@
 
 /// A router's question for permits.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask {
+pub struct Request {
     /// Requests a second that the server names, as the router knows it.
     pub limit: f64,
     /// Requests that it sent within [`WINDOW`] before it knew of a limit.
@@ -98,12 +98,12 @@
     /// Permits given.
     pub permits: u32,
     /// Time after which the router may ask again.
-    pub again: Duration,
+    pub retry_after: Duration,
 }
 
 /// Requests that a router sent without permits.
 #[derive(Debug, Clone)]
-struct Free {
+struct Unpermitted {
     router: Router,
     count: u32,
     /// When the last of them no longer counts.
@@ -117,7 +117,7 @@
     at: Option<Duration>,
     given: Sent,
     /// Sorted by router.
-    free: Vec<Free>,
+    free: Vec<Unpermitted>,
 }
 
 impl Ledger {
@@ -125,54 +125,57 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::quota::{Ask, Ledger};
+    /// use policy::quota::{Request, Ledger};
     /// let second = Duration::from_secs(1);
-    /// let ask = Ask { limit: 2.0, free: 0, free_age: Duration::ZERO, want: 2 };
+    /// let request = Request { limit: 2.0, free: 0, free_age: Duration::ZERO, want: 2 };
     /// let mut ledger = Ledger::default();
-    /// assert_eq!(ledger.ask("a", ask, second).permits, 0);
-    /// assert_eq!(ledger.ask("a", ask, 2 * second).permits, 2);
+    /// assert_eq!(ledger.grant("a", request, second).permits, 0);
+    /// assert_eq!(ledger.grant("a", request, 2 * second).permits, 2);
     /// // A flood of before counts until it is past.
-    /// let flood = Ask { free: 40, ..ask };
-    /// assert_eq!(ledger.ask("b", flood, 3 * second).permits, 0);
-    /// assert_eq!(ledger.ask("a", ask, 4 * second).permits, 0);
-    /// assert_eq!(ledger.ask("a", ask, 7 * second).permits, 2);
+    /// let flood = Request { free: 40, ..request };
+    /// assert_eq!(ledger.grant("b", flood, 3 * second).permits, 0);
+    /// assert_eq!(ledger.grant("a", request, 4 * second).permits, 0);
+    /// assert_eq!(ledger.grant("a", request, 7 * second).permits, 2);
     /// ```
-    pub fn ask(&mut self, router: &str, ask: Ask, now: Duration) -> Grant {
-        let limit = ask.limit.max(LEAST);
+    pub fn grant(&mut self, router: &str, request: Request, now: Duration) -> Grant {
+        let limit = request.limit.max(MIN_LIMIT);
         self.fill(limit, now);
-        self.note_free(router, ask, now);
+        self.record_unpermitted(router, request, now);
         let free: u32 = self.free.iter().map(|free| free.count).sum();
         let known = self.given.count(now) as f64 + f64::from(free);
         // What is left of a permit at either end of the window.
         let room = limit * WINDOW.as_secs_f64() + 1.0 - known;
-        let permits = ask.want.min(self.credit as u32).min(room.max(0.0) as u32);
+        let permits = request.want.min(self.credit as u32).min(room.max(0.0) as u32);
         self.credit -= f64::from(permits);
-        (0..permits).for_each(|_| self.given.note(now));
-        let again = match permits < ask.want {
-            true => Duration::from_secs_f64((1.0 - self.credit).max(0.0) / limit).max(SOON),
+        (0..permits).for_each(|_| self.given.record(now));
+        let retry_after = match permits < request.want {
+            true => {
+                Duration::from_secs_f64((1.0 - self.credit).max(0.0) / limit).max(MIN_ASK_INTERVAL)
+            }
             false => Duration::ZERO,
         };
-        Grant { permits, again }
+        Grant { permits, retry_after }
     }
 
     /// When it was last asked.
-    pub fn asked(&self) -> Option<Duration> {
+    pub fn last_request(&self) -> Option<Duration> {
         self.at
     }
 
     fn fill(&mut self, limit: f64, now: Duration) {
         let since = self.at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
-        let most = (limit * SAVED.as_secs_f64()).max(SAVED_LEAST);
+        let most = (limit * CREDIT_TIME.as_secs_f64()).max(MIN_CREDIT_CAP);
         self.credit = (self.credit + limit * since.as_secs_f64()).min(most);
         self.at = Some(now);
     }
 
-    fn note_free(&mut self, router: &str, ask: Ask, now: Duration) {
+    fn record_unpermitted(&mut self, router: &str, request: Request, now: Duration) {
         self.free.retain(|free| free.until > now && free.router != router);
-        if ask.free > 0 && ask.free_age < WINDOW {
+        if request.free > 0 && request.free_age < WINDOW {
             let at = self.free.partition_point(|free| free.router.as_str() < router);
-            let until = now + (WINDOW - ask.free_age);
-            self.free.insert(at, Free { router: router.to_owned(), count: ask.free, until });
+            let until = now + (WINDOW - request.free_age);
+            self.free
+                .insert(at, Unpermitted { router: router.to_owned(), count: request.free, until });
         }
     }
 }
@@ -181,51 +184,51 @@
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
     /// Until when each may be used.
-    held: VecDeque<Duration>,
+    valid_until: VecDeque<Duration>,
     /// When it may ask for more.
     next: Duration,
     /// Permits got lately.
     got: Sent,
     /// Time for which a refused caller was last told to come back.
-    booked: Duration,
+    next_slot: Duration,
 }
 
 impl Permits {
     /// Permits that may be used now.
-    pub fn held(&mut self, now: Duration) -> usize {
-        while self.held.front().is_some_and(|until| *until <= now) {
-            self.held.pop_front();
+    pub fn available(&mut self, now: Duration) -> usize {
+        while self.valid_until.front().is_some_and(|until| *until <= now) {
+            self.valid_until.pop_front();
         }
-        self.held.len()
+        self.valid_until.len()
     }
 
     /// Uses a permit, if there is one.
     pub fn take(&mut self, now: Duration) -> bool {
-        self.held(now);
-        self.held.pop_front().is_some()
+        self.available(now);
+        self.valid_until.pop_front().is_some()
     }
 
     /// Whether to ask for permits.
     pub fn may_ask(&mut self, now: Duration) -> bool {
-        self.held(now) == 0 && self.next <= now
+        self.available(now) == 0 && self.next <= now
     }
 
     /// Takes an answer over.
     pub fn receive(&mut self, grant: Grant, now: Duration) {
         for _ in 0..grant.permits {
-            self.held.push_back(now + HELD);
-            self.got.note(now);
+            self.valid_until.push_back(now + PERMIT_VALIDITY);
+            self.got.record(now);
         }
-        self.next = now + grant.again;
+        self.next = now + grant.retry_after;
     }
 
     /// When a refused caller is to come back, of a server that names `limit`, at one of `routers` routers: callers come
     /// one by one, as permits did lately.
-    pub fn come_back(&mut self, limit: f64, routers: u32, now: Duration) -> Duration {
-        let even = limit.max(LEAST) / f64::from(routers.max(1));
+    pub fn retry_after(&mut self, limit: f64, routers: u32, now: Duration) -> Duration {
+        let even = limit.max(MIN_LIMIT) / f64::from(routers.max(1));
         let rate = even.max(self.got.count(now) as f64 / WINDOW.as_secs_f64());
-        let slot = self.booked.max(self.next).max(now) + Duration::from_secs_f64(1.0 / rate);
-        self.booked = slot.min(now + COME_BACK);
-        self.booked - now
+        let slot = self.next_slot.max(self.next).max(now) + Duration::from_secs_f64(1.0 / rate);
+        self.next_slot = slot.min(now + MAX_RETRY_AFTER);
+        self.next_slot - now
     }
 }
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -4,10 +4,10 @@
 //! router sees the idle slots at the same moment; the VM, with cold caches and nothing
 //! warmed up, gets a full load in one step, its step times soar and it is taken for a failing one.
 //!
-//! So a VM starts with one slot and the slots allowed double every [`STEP`]: 8 slots
+//! So a VM starts with one slot and the slots allowed double every [`DOUBLING_TIME`]: 8 slots
 //! are reached after three steps. Doubling, since a fixed rate is slow for large VMs. A VM that
-//! flaps between live and gone doubles its step with each return, up to [`SLOWEST`] times, and
-//! is forgiven after [`FORGIVE`], so that flapping VMs don't drag work to and fro.
+//! flaps between live and gone doubles its step with each return, up to [`MAX_FLAP_FACTOR`] times, and
+//! is forgiven after [`FLAP_MEMORY`], so that flapping VMs don't drag work to and fro.
 //!
 //! A range whose replicas are all being ramped up has nobody to spare them for: there the
 //! slow start ends at once.
@@ -15,13 +15,13 @@
 use std::time::Duration;
 
 /// Time in which the slots allowed double.
-pub const STEP: Duration = Duration::from_millis(500);
+pub const DOUBLING_TIME: Duration = Duration::from_millis(500);
 
-/// Largest factor on [`STEP`] for a VM that flaps.
-pub const SLOWEST: u32 = 16;
+/// Largest factor on [`DOUBLING_TIME`] for a VM that flaps.
+pub const MAX_FLAP_FACTOR: u32 = 16;
 
 /// Time in service after which earlier flaps are forgotten.
-pub const FORGIVE: Duration = Duration::from_secs(60);
+pub const FLAP_MEMORY: Duration = Duration::from_secs(60);
 
 /// Slow start of one VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,14 +32,14 @@
 }
 
 impl Ramp {
-    /// A VM joins at `now`; `step` is usually [`STEP`].
+    /// A VM joins at `now`; `step` is usually [`DOUBLING_TIME`].
     ///
     /// ```
     /// use std::time::Duration;
-    /// use policy::ramp::{Ramp, STEP};
-    /// let ramp = Ramp::join(STEP, Duration::ZERO);
+    /// use policy::ramp::{Ramp, DOUBLING_TIME};
+    /// let ramp = Ramp::join(DOUBLING_TIME, Duration::ZERO);
     /// assert_eq!(ramp.allowed(8, Duration::ZERO), 1);
-    /// assert_eq!(ramp.allowed(8, STEP * 3), 8);
+    /// assert_eq!(ramp.allowed(8, DOUBLING_TIME * 3), 8);
     /// ```
     pub fn join(step: Duration, now: Duration) -> Ramp {
         Ramp { step, since: now, factor: 1 }
@@ -53,21 +53,21 @@
     /// assert_eq!(ramp.allowed(8, Duration::ZERO), 8);
     /// ```
     pub fn warm() -> Ramp {
-        Ramp { step: STEP, since: Duration::ZERO, factor: 0 }
+        Ramp { step: DOUBLING_TIME, since: Duration::ZERO, factor: 0 }
     }
 
     /// The VM comes back at `now` after it had left or was lost.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use policy::ramp::{Ramp, STEP};
-    /// let ramp = Ramp::join(STEP, Duration::ZERO).again(STEP, Duration::from_secs(1));
-    /// assert_eq!(ramp.allowed(8, Duration::from_secs(1) + STEP), 1);
+    /// use policy::ramp::{Ramp, DOUBLING_TIME};
+    /// let ramp = Ramp::join(DOUBLING_TIME, Duration::ZERO).rejoin(DOUBLING_TIME, Duration::from_secs(1));
+    /// assert_eq!(ramp.allowed(8, Duration::from_secs(1) + DOUBLING_TIME), 1);
     /// ```
-    pub fn again(self, step: Duration, now: Duration) -> Ramp {
-        let factor = match now.saturating_sub(self.since) >= FORGIVE {
+    pub fn rejoin(self, step: Duration, now: Duration) -> Ramp {
+        let factor = match now.saturating_sub(self.since) >= FLAP_MEMORY {
             true => 1,
-            false => (self.factor * 2).clamp(1, SLOWEST),
+            false => (self.factor * 2).clamp(1, MAX_FLAP_FACTOR),
         };
         Ramp { step, since: now, factor }
     }
--- a/crates/policy/src/range.rs
+++ b/crates/policy/src/range.rs
@@ -9,7 +9,7 @@
 use crate::affinity::{self, Prefix};
 use crate::health::{Peers, State};
 use crate::ramp::Ramp;
-use crate::replica::{Replica, UNKNOWN_US};
+use crate::replica::{DEFAULT_STEP_US, Replica};
 
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Range {
@@ -27,7 +27,7 @@
 
     /// Sorts the step times again, after a change of any.
     pub(crate) fn refresh(&mut self, now: Duration) {
-        self.lift_ramps(now);
+        self.end_ramps(now);
         let live = self.list.iter().filter(|r| r.limit(now) > 0);
         self.steps.clear();
         self.steps.extend(live.map(|r| (r.step(), f64::from(r.slots))));
@@ -38,14 +38,14 @@
             all += *slots;
             *slots = all;
         }
-        self.mean = if all > 0.0 { sum / all } else { UNKNOWN_US };
+        self.mean = if all > 0.0 { sum / all } else { DEFAULT_STEP_US };
     }
 
     /// Ends the slow start of all replicas when none that works in full is left.
     ///
     /// A slow start shifts work from warm replicas to a new one. Without a warm one it
     /// would only make callers wait beside idle slots, for seconds after a restart.
-    fn lift_ramps(&mut self, now: Duration) {
+    fn end_ramps(&mut self, now: Duration) {
         let full = |r: &Replica| r.limit(now) > 0 && r.ramp.allowed(r.slots, now) >= r.slots;
         if self.list.iter().any(full) {
             return;
@@ -57,11 +57,11 @@
 
     /// Mean step time of a slot in microseconds.
     pub(crate) fn mean_step(&self) -> f64 {
-        if self.mean > 0.0 { self.mean } else { UNKNOWN_US }
+        if self.mean > 0.0 { self.mean } else { DEFAULT_STEP_US }
     }
 
     /// Part of the slots that are faster than `step`, and half of its equals.
-    pub(crate) fn place(&self, step: f64) -> f64 {
+    pub(crate) fn quantile(&self, step: f64) -> f64 {
         let slots = |i: usize| if i > 0 { self.steps[i - 1].1 } else { 0.0 };
         let from = slots(self.steps.partition_point(|s| s.0 < step));
         let to = slots(self.steps.partition_point(|s| s.0 <= step));
@@ -72,11 +72,11 @@
     }
 
     /// Step time in microseconds of the slot at that place.
-    pub(crate) fn step_at(&self, place: f64) -> f64 {
+    pub(crate) fn step_at(&self, quantile: f64) -> f64 {
         let Some((last, all)) = self.steps.last() else {
-            return UNKNOWN_US;
+            return DEFAULT_STEP_US;
         };
-        let i = self.steps.partition_point(|s| s.1 <= place * all);
+        let i = self.steps.partition_point(|s| s.1 <= quantile * all);
         self.steps.get(i).map_or(*last, |s| s.0)
     }
 
--- a/crates/policy/src/refusal.rs
+++ b/crates/policy/src/refusal.rs
@@ -9,10 +9,10 @@
 
 /// When to come back while no backend server can be used: about the time in which a replaced VM
 /// is listed, loaded and seen.
-pub const OUTAGE: Duration = Duration::from_secs(5);
+pub const OUTAGE_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Shortest time to come back: below it the answer would cost more than the wait.
-pub const SOON: Duration = Duration::from_millis(100);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -14,17 +14,17 @@
 use crate::ramp::Ramp;
 
 /// State of a backend server in bytes, without the text of its VM's name and at most
-/// [`CHANGES`] times 24 for what a report may not know of.
+/// [`MAX_CHANGES`] times 24 for what a report may not know of.
 pub const BYTES: usize = size_of::<Replica>();
 
 /// Changes kept since the last report; with more the oldest are taken as known to the report.
-pub const CHANGES: usize = 32;
+pub const MAX_CHANGES: usize = 32;
 
 /// Step time assumed before the first report, in microseconds; only its relation to peers matters.
-pub(crate) const UNKNOWN_US: f64 = 30_000.0;
+pub(crate) const DEFAULT_STEP_US: f64 = 30_000.0;
 
 /// Weight of a report in the smoothed step time.
-const SMOOTH: f64 = 0.3;
+const SMOOTHING: f64 = 0.3;
 
 /// Name of a VM.
 pub type Vm = String;
@@ -86,7 +86,7 @@
             return;
         }
         self.own = self.own.saturating_add_signed(i32::from(by));
-        if self.changes.len() == CHANGES {
+        if self.changes.len() == MAX_CHANGES {
             self.changes.remove(0);
         }
         self.changes.push((now, by));
@@ -142,7 +142,7 @@
     }
 
     /// Notes a change from `before` free slots.
-    pub(crate) fn freed(&mut self, before: u32, now: Duration) {
+    pub(crate) fn update_free_since(&mut self, before: u32, now: Duration) {
         if before == 0 && self.free(now) > 0 {
             self.free_since = now;
         }
@@ -150,13 +150,13 @@
 
     /// Smoothed step time in microseconds, or one like any other's before the first report.
     pub(crate) fn step(&self) -> f64 {
-        if self.step_us > 0.0 { self.step_us } else { UNKNOWN_US }
+        if self.step_us > 0.0 { self.step_us } else { DEFAULT_STEP_US }
     }
 
     /// Takes over a fresh step time.
     pub(crate) fn smooth(&mut self, fresh: f64) {
         self.step_us = match self.step_us > 0.0 {
-            true => self.step_us + SMOOTH * (fresh - self.step_us),
+            true => self.step_us + SMOOTHING * (fresh - self.step_us),
             false => fresh,
         };
     }
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -22,19 +22,19 @@
 /// Tokens a success adds to the bucket for refusals. Few: the next replica of a list matches the chain worse
 /// than the first, so in a full fleet a request had better go back to the queue (at 1.0 the
 /// simulator loses a point of throughput at saturation).
-pub const REFUSALS: f64 = 0.1;
+pub const REFUSAL_RATIO: f64 = 0.1;
 
 /// Tokens the bucket holds at most; it starts full.
 pub const BURST: f64 = 50.0;
 
 /// Upper end of the first wait.
-pub const BASE: Duration = Duration::from_millis(20);
+pub const BASE_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Upper end of any wait.
-pub const LONGEST: Duration = Duration::from_secs(1);
+pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Tries of one request at most, the first included.
-pub const TRIES: u32 = 5;
+pub const MAX_TRIES: u32 = 5;
 
 /// What is certain about the failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -108,12 +108,12 @@
     /// assert!(policy::retry::Budget::refusals().take());
     /// ```
     pub fn refusals() -> Budget {
-        Budget { ratio: REFUSALS, ..Budget::default() }
+        Budget { ratio: REFUSAL_RATIO, ..Budget::default() }
     }
 
     /// A full bucket with other thresholds.
     pub fn tuned(tuning: &Tuning) -> Budget {
-        Budget { tokens: tuning.burst, ratio: tuning.retries, burst: tuning.burst }
+        Budget { tokens: tuning.burst, ratio: tuning.retry_ratio, burst: tuning.burst }
     }
 
     /// A request succeeded.
@@ -161,12 +161,13 @@
     /// assert_eq!(retry, Retry::Stop(Stop::Unsafe));
     /// ```
     pub fn decide(&mut self, failure: &Failure, now: Duration, rng: &mut impl Rng) -> Retry {
-        let most =
-            BASE.saturating_mul(1 << failure.tries.clamp(1, 16).saturating_sub(1)).min(LONGEST);
+        let most = BASE_BACKOFF
+            .saturating_mul(1 << failure.tries.clamp(1, 16).saturating_sub(1))
+            .min(MAX_BACKOFF);
         let wait = most.mul_f64(rng.random::<f64>());
         match failure.outcome {
             Outcome::Unknown => Retry::Stop(Stop::Unsafe),
-            _ if failure.tries >= TRIES => Retry::Stop(Stop::Tries),
+            _ if failure.tries >= MAX_TRIES => Retry::Stop(Stop::Tries),
             _ if now + wait + failure.run > failure.deadline => Retry::Stop(Stop::Deadline),
             _ if !self.take() => Retry::Stop(Stop::Budget),
             _ => Retry::After(wait),
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -6,7 +6,7 @@
 //! at once; a router that joins a full fleet would never get one.
 
 /// Part of its even share of the slots that a router counts on before it has any in use.
-const COLD: f64 = 0.5;
+const MIN_SHARE_RATIO: f64 = 0.5;
 
 /// A router that uses more than this times its even share leaves the last free slots to the others.
 ///
@@ -15,7 +15,7 @@
 pub const OVER_SHARE: f64 = 1.05;
 
 /// Part of the slots that a router past [`OVER_SHARE`] leaves free.
-pub const LEFT_FREE: f64 = 0.02;
+pub const FREE_RESERVE_RATIO: f64 = 0.02;
 
 /// What the router sees of the fleet for this queue, see [`crate::route::Table::room`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,21 +39,21 @@
         let routers = f64::from(self.routers.max(1));
         let even = f64::from(self.slots) / routers;
         let free = f64::from(self.free) / routers;
-        (f64::from(running) + free).max(even * COLD)
+        (f64::from(running) + free).max(even * MIN_SHARE_RATIO)
     }
 
     /// True when a router that has `running` slots in use may take one more;
-    /// `left_free` is usually [`LEFT_FREE`].
+    /// `free_reserve_ratio` is usually [`FREE_RESERVE_RATIO`].
     ///
     /// ```
     /// let room = policy::room::Room { free: 1, slots: 60, routers: 6 };
     /// assert!(room.may_start(10, 0.02));
     /// assert!(!room.may_start(20, 0.02));
     /// ```
-    pub fn may_start(&self, running: u32, left_free: f64) -> bool {
+    pub fn may_start(&self, running: u32, free_reserve_ratio: f64) -> bool {
         let even = f64::from(self.slots) / f64::from(self.routers.max(1));
         let over = self.routers > 1 && f64::from(running) > even * OVER_SHARE;
-        let left = if over { (f64::from(self.slots) * left_free).ceil() } else { 0.0 };
+        let left = if over { (f64::from(self.slots) * free_reserve_ratio).ceil() } else { 0.0 };
         f64::from(self.free) > left
     }
 }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -29,7 +29,7 @@
 
 /// Longest step time taken from a report, in microseconds: a wrong one must not make
 /// estimates overflow.
-pub const STEP_MAX: u64 = 600_000_000;
+pub const MAX_STEP_US: u64 = 600_000_000;
 
 /// An agent's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 /// What a request needs to be routed.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Ask<'a> {
+pub struct Request<'a> {
     /// Its tokens; 1 and 1 for a call.
     pub cost: Cost,
     /// Time left until its deadline.
@@ -115,11 +115,11 @@
     /// ```
     /// use std::time::Duration;
     /// use policy::link::Links;
-    /// use policy::route::{Ask, Table};
+    /// use policy::route::{Request, Table};
     /// use policy::work::Cost;
     /// let mut table = Table::new(1, Links::new(Duration::from_millis(1)));
     /// table.warm(0, "desk-1", "east", 8);
-    /// let ask = Ask {
+    /// let request = Request {
     ///     cost: Cost { prompt: 1, output: 1 },
     ///     left: Duration::from_secs(10),
     ///     prefix: None,
@@ -129,7 +129,7 @@
     ///     avoid: &[],
     /// };
     /// let mut rng: rand_pcg::Pcg64 = rand::SeedableRng::seed_from_u64(1);
-    /// let chain = table.chain(&ask, Duration::ZERO, &mut rng).unwrap();
+    /// let chain = table.chain(&request, Duration::ZERO, &mut rng).unwrap();
     /// assert_eq!(chain, [["desk-1"]]);
     /// ```
     pub fn new(ranges: usize, links: Links) -> Table {
@@ -141,7 +141,7 @@
         Table { tuning, ..self }
     }
 
-    /// Index of a data centre, for [`Ask::from`].
+    /// Index of a data centre, for [`Request::from`].
     pub fn data_centre(&mut self, name: &str) -> DataCentre {
         self.links.index(name)
     }
@@ -153,7 +153,7 @@
 
     /// A VM joins or comes back: it is ramped up.
     pub fn join(&mut self, range: usize, vm: &str, data_centre: &str, slots: u32, now: Duration) {
-        self.add(range, vm, data_centre, slots, Ramp::join(self.tuning.ramp, now), now);
+        self.add(range, vm, data_centre, slots, Ramp::join(self.tuning.doubling_time, now), now);
     }
 
     /// A VM is lost: the connection to it broke, or it is no longer listed. It is remembered, so that one that flaps is seen as such,
@@ -185,10 +185,10 @@
         let free = r.free(now);
         (r.slots, r.leaving) = (load.slots, load.leaving);
         r.report(load.busy, now.saturating_sub(load.age));
-        r.freed(free, now);
+        r.update_free_since(free, now);
         let mut ejected = false;
         if load.step_us > 0 {
-            let fresh = load.step_us.min(STEP_MAX) as f64;
+            let fresh = load.step_us.min(MAX_STEP_US) as f64;
             r.smooth(fresh);
             ejected = r.health.step(fresh, load.busy > 0, peers, &self.tuning, now);
         }
@@ -212,7 +212,7 @@
         let r = &mut self.ranges[range].list[i];
         let free = r.free(now);
         r.ended(now);
-        r.freed(free, now);
+        r.update_free_since(free, now);
         match end {
             End::Succeeded => {
                 r.health.succeeded(r.slots, now);
@@ -251,10 +251,10 @@
     }
 
     /// Chooses the chain. `None` when a range has no free slot, or when the free ones suit each other
-    /// badly and have been free for less than [`crate::chain::HOLD`]: the request has to wait.
-    pub fn chain(&self, ask: &Ask, now: Duration, rng: &mut impl Rng) -> Option<Chain> {
+    /// badly and have been free for less than [`crate::chain::MAX_HOLD`]: the request has to wait.
+    pub fn chain(&self, request: &Request, now: Duration, rng: &mut impl Rng) -> Option<Chain> {
         let choice =
-            Choice { ranges: &self.ranges, links: &self.links, tuning: &self.tuning, ask, now };
+            Choice { ranges: &self.ranges, links: &self.links, tuning: &self.tuning, request, now };
         let lists = choice.make(rng)?;
         let names = |(range, list): (&Range, &Vec<usize>)| {
             list.iter().map(|&i| range.list[i].vm.clone()).collect()
@@ -264,7 +264,7 @@
 
     /// In how many ranges a replica that is likely to have the prefix cached has a free slot;
     /// for [`crate::queue::Queue::next_by`].
-    pub fn likes(&self, prefix: Prefix, now: Duration) -> u32 {
+    pub fn cached_ranges(&self, prefix: Prefix, now: Duration) -> u32 {
         let free = |range: &&Range| {
             range.homes(prefix, |r| r.limit(now) > 0).any(|i| range.list[i].free(now) > 0)
         };
@@ -285,14 +285,14 @@
         ramp: Ramp,
         now: Duration,
     ) {
-        let step = self.tuning.ramp;
+        let step = self.tuning.doubling_time;
         let data_centre = self.links.index(data_centre);
         let range = &mut self.ranges[range];
         match range.find(vm) {
             Ok(i) if !range.list[i].gone => range.list[i].slots = slots,
             Ok(i) => {
                 let old = &range.list[i];
-                let (step_us, ramp) = (old.step_us, old.ramp.again(step, now));
+                let (step_us, ramp) = (old.step_us, old.ramp.rejoin(step, now));
                 range.list[i] = Replica::new(vm, data_centre, slots, ramp);
                 range.list[i].step_us = step_us;
             }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -22,7 +22,7 @@
 
 /// Workspaces compared by how well their next request suits the free slots. More find better
 /// matches, but each costs a hash for each replica.
-pub const COMPARED: usize = 8;
+pub const MAX_COMPARED: usize = 8;
 
 /// State of a workspace in bytes, without its name's text and its waiting requests.
 pub const BYTES: usize = size_of::<Workspace>();
@@ -88,38 +88,38 @@
 }
 
 impl Clock {
-    /// The workspace to serve, among the heads of those that wait; `likes` tells for the first
-    /// [`COMPARED`] of equal right how well each suits the free slots.
+    /// The workspace to serve, among the heads of those that wait; `affinity` tells for the first
+    /// [`MAX_COMPARED`] of equal right how well each suits the free slots.
     pub(crate) fn pick(
         &mut self,
         heads: impl Iterator<Item = Head> + Clone,
         quantum: f64,
-        likes: impl Fn(usize) -> u32,
+        affinity: impl Fn(usize) -> u32,
     ) -> Option<usize> {
         self.now = heads.clone().map(|h| h.start).min_by(f64::total_cmp)?;
         let limit = self.now + quantum;
-        let mut best = [None::<Head>; COMPARED];
+        let mut best = [None::<Head>; MAX_COMPARED];
         for head in heads.filter(|h| h.start <= limit) {
-            if best[COMPARED - 1].is_some_and(|last| !before(&head, &last)) {
+            if best[MAX_COMPARED - 1].is_some_and(|last| !precedes(&head, &last)) {
                 continue;
             }
             let mut next = Some(head);
             for place in &mut best {
                 match (&next, &place) {
-                    (Some(a), Some(b)) if !before(a, b) => {}
+                    (Some(a), Some(b)) if !precedes(a, b) => {}
                     _ => std::mem::swap(place, &mut next),
                 }
             }
         }
         let first = best[0]?;
         let equal = best.iter().flatten().filter(|h| h.priority == first.priority);
-        let suits = equal.map(|h| (likes(h.index), h));
+        let suits = equal.map(|h| (affinity(h.index), h));
         let best = suits.reduce(|a, b| if b.0 > a.0 { b } else { a });
         best.map(|(_, h)| h.index)
     }
 
     /// A workspace without waiting requests gets one: it may not use what it didn't use before.
-    pub(crate) fn wake(&self, workspace: &mut Workspace) {
+    pub(crate) fn activate(&self, workspace: &mut Workspace) {
         workspace.start = workspace.start.max(self.now);
     }
 
@@ -129,6 +129,6 @@
     }
 }
 
-fn before(a: &Head, b: &Head) -> bool {
+fn precedes(a: &Head, b: &Head) -> bool {
     (b.priority, a.finish) < (a.priority, b.finish)
 }
--- a/crates/policy/src/shortage.rs
+++ b/crates/policy/src/shortage.rs
@@ -11,19 +11,19 @@
 use std::time::Duration;
 
 /// Time to come back when hardly any are refused: about as long as a request runs.
-pub const SHORTEST: Duration = Duration::from_millis(1500);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
 /// Time to come back when most are refused. Callers have some twenty seconds and come back within a third.
-pub const LONGEST: Duration = Duration::from_secs(6);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
 
 /// Time in which what was seen counts for a third of what it did.
-const MEMORY: Duration = Duration::from_secs(3);
+const DECAY_TIME: Duration = Duration::from_secs(3);
 
 /// Part of the requests that may be refused until the longest time is told.
-const MOST: f64 = 0.6;
+const REFUSED_RATIO_AT_MAX: f64 = 0.6;
 
 /// Requests that are taken for placed beside those seen, so that one refusal of a quiet router says little.
-const FEW: f64 = 5.0;
+const PRIOR_PLACED: f64 = 5.0;
 
 /// Requests that found a place or none lately, the newest counting most.
 #[derive(Debug, Clone, Copy, Default)]
@@ -36,7 +36,7 @@
 impl Shortage {
     /// Notes a request that found a place.
     pub fn placed(&mut self, now: Duration) {
-        self.forget(now);
+        self.decay(now);
         self.placed += 1.0;
     }
 
@@ -44,25 +44,26 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::shortage::{LONGEST, SHORTEST, Shortage};
+    /// use policy::shortage::{MAX_RETRY_AFTER, MIN_RETRY_AFTER, Shortage};
     /// let now = Duration::from_secs(10);
     /// let mut shortage = Shortage::default();
     /// (0..100).for_each(|_| shortage.placed(now));
-    /// assert!(shortage.refused(now) < SHORTEST + Duration::from_millis(100));
+    /// assert!(shortage.refused(now) < MIN_RETRY_AFTER + Duration::from_millis(100));
     /// (0..300).for_each(|_| drop(shortage.refused(now)));
-    /// assert_eq!(shortage.refused(now), LONGEST);
+    /// assert_eq!(shortage.refused(now), MAX_RETRY_AFTER);
     /// let later = now + Duration::from_secs(60);
-    /// assert!(shortage.refused(later) < LONGEST / 2);
+    /// assert!(shortage.refused(later) < MAX_RETRY_AFTER / 2);
     /// ```
     pub fn refused(&mut self, now: Duration) -> Duration {
-        self.forget(now);
+        self.decay(now);
         self.refused += 1.0;
-        let share = self.refused / (self.refused + self.placed + FEW);
-        SHORTEST + (LONGEST - SHORTEST).mul_f64((share / MOST).min(1.0))
+        let share = self.refused / (self.refused + self.placed + PRIOR_PLACED);
+        MIN_RETRY_AFTER
+            + (MAX_RETRY_AFTER - MIN_RETRY_AFTER).mul_f64((share / REFUSED_RATIO_AT_MAX).min(1.0))
     }
 
-    fn forget(&mut self, now: Duration) {
-        let old = now.saturating_sub(self.at).as_secs_f64() / MEMORY.as_secs_f64();
+    fn decay(&mut self, now: Duration) {
+        let old = now.saturating_sub(self.at).as_secs_f64() / DECAY_TIME.as_secs_f64();
         let left = (-old).exp();
         (self.placed, self.refused, self.at) = (self.placed * left, self.refused * left, now);
     }
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 /// First pause. A crashed server needs seconds to come back, and a lost packet a fifth of one.
-pub const FIRST: Duration = Duration::from_millis(500);
+pub const MIN_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause, about as long as the list of servers takes to drop a dead one.
-pub const LONGEST: Duration = Duration::from_secs(4);
+pub const MAX_PAUSE: Duration = Duration::from_secs(4);
 
 /// What is believed of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -20,7 +20,7 @@
     /// End of the last pause, also if an answer ended it sooner.
     last: Duration,
     pause: Duration,
-    open: bool,
+    unresolved: bool,
 }
 
 impl Suspicion {
@@ -31,22 +31,22 @@
     /// let mut suspicion = policy::suspicion::Suspicion::default();
     /// let now = Duration::from_secs(5);
     /// assert!(!suspicion.holds(now));
-    /// suspicion.fail(now);
+    /// suspicion.record_failure(now);
     /// assert!(suspicion.holds(now));
     /// suspicion.clear();
     /// assert!(!suspicion.holds(now));
     /// ```
-    pub fn fail(&mut self, now: Duration) {
+    pub fn record_failure(&mut self, now: Duration) {
         // Requests that were under way together fail together: they count once.
         if self.holds(now) {
             return;
         }
-        let quiet = now > self.last + LONGEST;
+        let quiet = now > self.last + MAX_PAUSE;
         self.pause =
-            if quiet || self.pause.is_zero() { FIRST } else { (self.pause * 2).min(LONGEST) };
+            if quiet || self.pause.is_zero() { MIN_PAUSE } else { (self.pause * 2).min(MAX_PAUSE) };
         self.until = now + self.pause;
         self.last = self.until;
-        self.open = true;
+        self.unresolved = true;
     }
 
     /// Passes over it for the first pause, as others say that it failed them. Only what this router sees itself makes
@@ -54,21 +54,21 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::suspicion::{FIRST, Suspicion};
+    /// use policy::suspicion::{MIN_PAUSE, Suspicion};
     /// let mut suspicion = Suspicion::default();
     /// let now = Duration::from_secs(5);
-    /// (0..9).for_each(|_| suspicion.hint(now));
-    /// assert!(suspicion.holds(now) && !suspicion.holds(now + FIRST));
+    /// (0..9).for_each(|_| suspicion.record_report(now));
+    /// assert!(suspicion.holds(now) && !suspicion.holds(now + MIN_PAUSE));
     /// ```
-    pub fn hint(&mut self, now: Duration) {
-        self.until = self.until.max(now + FIRST);
+    pub fn record_report(&mut self, now: Duration) {
+        self.until = self.until.max(now + MIN_PAUSE);
     }
 
     /// Notes an answer. The next failure within a while still leads to a longer pause: a server that
     /// goes down and up by turns answers in between.
     pub fn clear(&mut self) {
         self.until = Duration::ZERO;
-        self.open = false;
+        self.unresolved = false;
     }
 
     /// Whether it is passed over now.
@@ -77,7 +77,7 @@
     }
 
     /// Whether it failed and has not answered since.
-    pub fn open(&self) -> bool {
-        self.open
+    pub fn is_unresolved(&self) -> bool {
+        self.unresolved
     }
 }
--- a/crates/policy/src/tenure.rs
+++ b/crates/policy/src/tenure.rs
@@ -10,13 +10,13 @@
 use std::time::Duration;
 
 /// Time without success after which a seat is given up.
-pub const IDLE: Duration = Duration::from_secs(2);
+pub const MIN_IDLE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Time for which a router that gave a seat up stays out of the group: the others ask each second and a half at the latest.
-const OUT: Duration = Duration::from_secs(2);
+const WITHDRAWAL_TIME: Duration = Duration::from_secs(2);
 
 /// Longest time without success for one that has given the seat up several times.
-const LONGEST: Duration = Duration::from_secs(32);
+const MAX_IDLE_LIMIT: Duration = Duration::from_secs(32);
 
 /// How a router gets on with the seat that it holds.
 #[derive(Debug)]
@@ -24,25 +24,25 @@
     /// Since when it has had no success.
     since: Option<Duration>,
     /// Time without success after which it gives the seat up.
-    patience: Duration,
+    idle_limit: Duration,
     /// Until when it stays out of the group.
-    out: Option<Duration>,
+    withdrawn_until: Option<Duration>,
 }
 
 impl Default for Tenure {
     fn default() -> Tenure {
-        Tenure { since: None, patience: IDLE, out: None }
+        Tenure { since: None, idle_limit: MIN_IDLE_LIMIT, withdrawn_until: None }
     }
 }
 
 impl Tenure {
     /// Notes that the router could use the seat.
-    pub fn works(&mut self) {
+    pub fn succeeded(&mut self) {
         *self = Tenure::default();
     }
 
     /// Notes that it does not hold the seat.
-    pub fn ends(&mut self) {
+    pub fn released(&mut self) {
         self.since = None;
     }
 
@@ -50,27 +50,27 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::tenure::{IDLE, Tenure};
+    /// use policy::tenure::{MIN_IDLE_LIMIT, Tenure};
     /// let (mut tenure, start) = (Tenure::default(), Duration::from_secs(9));
-    /// assert!(!tenure.fails(start, true));
-    /// assert!(!tenure.fails(start + IDLE / 2, true));
-    /// assert!(!tenure.fails(start + IDLE, false));
-    /// assert!(tenure.fails(start + IDLE, true));
-    /// assert!(tenure.is_out(start + IDLE));
+    /// assert!(!tenure.failed(start, true));
+    /// assert!(!tenure.failed(start + MIN_IDLE_LIMIT / 2, true));
+    /// assert!(!tenure.failed(start + MIN_IDLE_LIMIT, false));
+    /// assert!(tenure.failed(start + MIN_IDLE_LIMIT, true));
+    /// assert!(tenure.is_withdrawn(start + MIN_IDLE_LIMIT));
     /// // The next time it tries longer, as the others may fare no better.
-    /// let again = start + 4 * IDLE;
-    /// assert!(!tenure.is_out(again));
-    /// assert!(!tenure.fails(again, true));
-    /// assert!(!tenure.fails(again + IDLE, true));
-    /// assert!(tenure.fails(again + 2 * IDLE, true));
+    /// let again = start + 4 * MIN_IDLE_LIMIT;
+    /// assert!(!tenure.is_withdrawn(again));
+    /// assert!(!tenure.failed(again, true));
+    /// assert!(!tenure.failed(again + MIN_IDLE_LIMIT, true));
+    /// assert!(tenure.failed(again + 2 * MIN_IDLE_LIMIT, true));
     /// ```
-    pub fn fails(&mut self, now: Duration, others: bool) -> bool {
+    pub fn failed(&mut self, now: Duration, others: bool) -> bool {
         let since = *self.since.get_or_insert(now);
-        if !others || now < since + self.patience {
+        if !others || now < since + self.idle_limit {
             return false;
         }
-        let patience = (self.patience * 2).min(LONGEST);
-        *self = Tenure { since: None, patience, out: Some(now + OUT) };
+        let idle_limit = (self.idle_limit * 2).min(MAX_IDLE_LIMIT);
+        *self = Tenure { since: None, idle_limit, withdrawn_until: Some(now + WITHDRAWAL_TIME) };
         true
     }
 
@@ -80,7 +80,7 @@
     }
 
     /// Whether it stays out of the group.
-    pub fn is_out(&self, now: Duration) -> bool {
-        self.out.is_some_and(|until| now < until)
+    pub fn is_withdrawn(&self, now: Duration) -> bool {
+        self.withdrawn_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/policy/src/tuning.rs
+++ b/crates/policy/src/tuning.rs
@@ -10,62 +10,62 @@
 /// Thresholds of all decisions.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tuning {
-    /// [`affinity::BOUND`].
-    pub bound: f64,
-    /// [`chain::LOAD`].
-    pub load: f64,
-    /// [`chain::MIXING`].
-    pub mixing: f64,
-    /// [`chain::PATIENCE`].
-    pub patience: f64,
-    /// [`chain::HOLD`].
-    pub hold: Duration,
-    /// [`health::SLOW`].
-    pub slow: f64,
-    /// [`health::STRIKES`].
-    pub strikes: u8,
-    /// [`health::EJECT`].
-    pub eject: Duration,
+    /// [`affinity::LOAD_BOUND`].
+    pub load_bound: f64,
+    /// [`chain::FULL_LOAD_PENALTY`].
+    pub full_load_penalty: f64,
+    /// [`chain::COST_SMOOTHING`].
+    pub cost_smoothing: f64,
+    /// [`chain::HOLD_RATIO`].
+    pub hold_ratio: f64,
+    /// [`chain::MAX_HOLD`].
+    pub max_hold: Duration,
+    /// [`health::SLOW_FACTOR`].
+    pub slow_factor: f64,
+    /// [`health::FAULTS_TO_EJECT`].
+    pub faults_to_eject: u8,
+    /// [`health::MIN_EJECTION`].
+    pub min_ejection: Duration,
     /// [`queue::STRETCH`].
     pub stretch: f64,
-    /// [`estimate::MARGIN`].
-    pub margin: f64,
-    /// [`estimate::CATCH_UP`].
-    pub catch_up: f64,
-    /// [`queue::DOUBT`].
-    pub doubt: f64,
+    /// [`estimate::OVERTAKING_FACTOR`].
+    pub overtaking_factor: f64,
+    /// [`estimate::MAX_WAIT_RATIO`].
+    pub max_wait_ratio: f64,
+    /// [`queue::LATENESS_TOLERANCE`].
+    pub lateness_tolerance: f64,
     /// [`share::QUANTUM`].
     pub quantum: f64,
-    /// [`ramp::STEP`].
-    pub ramp: Duration,
+    /// [`ramp::DOUBLING_TIME`].
+    pub doubling_time: Duration,
     /// [`retry::RATIO`].
-    pub retries: f64,
+    pub retry_ratio: f64,
     /// [`retry::BURST`].
     pub burst: f64,
-    /// [`room::LEFT_FREE`].
-    pub left_free: f64,
+    /// [`room::FREE_RESERVE_RATIO`].
+    pub free_reserve_ratio: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Tuning {
         Tuning {
-            bound: affinity::BOUND,
-            load: chain::LOAD,
-            mixing: chain::MIXING,
-            patience: chain::PATIENCE,
-            hold: chain::HOLD,
-            slow: health::SLOW,
-            strikes: health::STRIKES,
-            eject: health::EJECT,
+            load_bound: affinity::LOAD_BOUND,
+            full_load_penalty: chain::FULL_LOAD_PENALTY,
+            cost_smoothing: chain::COST_SMOOTHING,
+            hold_ratio: chain::HOLD_RATIO,
+            max_hold: chain::MAX_HOLD,
+            slow_factor: health::SLOW_FACTOR,
+            faults_to_eject: health::FAULTS_TO_EJECT,
+            min_ejection: health::MIN_EJECTION,
             stretch: queue::STRETCH,
-            margin: estimate::MARGIN,
-            catch_up: estimate::CATCH_UP,
-            doubt: queue::DOUBT,
+            overtaking_factor: estimate::OVERTAKING_FACTOR,
+            max_wait_ratio: estimate::MAX_WAIT_RATIO,
+            lateness_tolerance: queue::LATENESS_TOLERANCE,
             quantum: share::QUANTUM,
-            ramp: ramp::STEP,
-            retries: retry::RATIO,
+            doubling_time: ramp::DOUBLING_TIME,
+            retry_ratio: retry::RATIO,
             burst: retry::BURST,
-            left_free: room::LEFT_FREE,
+            free_reserve_ratio: room::FREE_RESERVE_RATIO,
         }
     }
 }
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -17,35 +17,35 @@
 use crate::loan::Loan;
 
 /// Part of the budget that is used. The rest is for routers that have just started.
-pub const MARGIN: f64 = 0.94;
+pub const USABLE_RATIO: f64 = 0.94;
 
 /// Part of its own part that a router uses while the process before it may have used all of it.
-pub const YOUNG: f64 = 0.03;
+pub const RATIO_AFTER_UNKNOWN_USE: f64 = 0.03;
 
 /// Part of its own part that a router uses at most without telling the others, so that those that start know of what
 /// was used before.
-pub const HEAVY: f64 = 0.4;
+pub const HEAVY_USE_RATIO: f64 = 0.4;
 
-/// Part of its own part that a router uses where the process before it did not use more than [`HEAVY`].
-const LIGHT: f64 = 0.5;
+/// Part of its own part that a router uses where the process before it did not use more than [`HEAVY_USE_RATIO`].
+const RATIO_AFTER_LIGHT_USE: f64 = 0.5;
 
 /// Longest time from when a repeat is counted until it arrives, also one that was lent. Windows
 /// are counted where repeats arrive.
-pub const ARRIVES: Duration = Duration::from_secs(1);
+pub const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(1);
 
 /// Part of a router's part that only streams that have begun may use. A request that has not begun can be refused and
 /// come back; a caller that has half a text can't.
-pub const RESERVED: f64 = 0.25;
+pub const RESERVED_RATIO: f64 = 0.25;
 
 /// Part of a standard deviation by which requests are taken for fewer than were counted in a single window.
-const CHANCE: f64 = 0.5;
+const COUNT_MARGIN: f64 = 0.5;
 
 /// Shortest time after which a router that has nothing left to lend is asked again, for each of all routers: if all are
 /// short, each is asked some thirty times a second.
-const ASKED: Duration = Duration::from_millis(30);
+const MIN_ASK_INTERVAL: Duration = Duration::from_millis(30);
 
 /// Longest time after which a router that had nothing left is asked again, however long its repeats still count.
-const GROWS: Duration = Duration::from_millis(800);
+const MAX_ASK_INTERVAL: Duration = Duration::from_millis(800);
 
 /// What a repeat is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,7 +58,7 @@
 
 /// What is known of the process before this one, which used repeats in the same window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Before {
+pub enum Predecessor {
     /// There was none: all routers have started for the first time.
     First,
     /// No router has told of heavy use.
@@ -70,10 +70,10 @@
     Unknown,
 }
 
-impl Before {
+impl Predecessor {
     /// Whether all is known that counts of it in a process which started `now` ago, in windows of that length.
     pub fn is_known(self, now: Duration, window: Duration) -> bool {
-        matches!(self, Before::First | Before::Told) || now >= window + ARRIVES
+        matches!(self, Predecessor::First | Predecessor::Told) || now >= window + MAX_DELIVERY_DELAY
     }
 }
 
@@ -95,7 +95,7 @@
     ratio: f64,
     slack: f64,
     window: Duration,
-    before: Before,
+    predecessor: Predecessor,
     /// Part of a repeat from which on this router's part is rounded up, once it knows the others.
     phase: Option<f64>,
     /// Until when each request counts, which is for two windows, and when those of two windows are known.
@@ -117,17 +117,17 @@
     /// // Five routers share ten repeats: one each, less the margin, and a share of requests.
     /// assert!(budget.take(now, 5));
     /// assert!(!budget.take(now, 5));
-    /// (0..10).for_each(|_| budget.request(now));
+    /// (0..10).for_each(|_| budget.record_request(now));
     /// assert!(budget.take(now, 5));
     /// ```
     pub fn new(ratio: f64, slack: f64, window: Duration) -> Budget {
         let (requests, used) = (VecDeque::new(), VecDeque::new());
-        let before = Before::default();
+        let predecessor = Predecessor::default();
         Budget {
             ratio,
             slack,
             window,
-            before,
+            predecessor,
             phase: None,
             requests,
             settled: None,
@@ -137,19 +137,19 @@
     }
 
     /// Notes what is known of the process before this one.
-    pub fn follow(&mut self, before: Before) {
-        self.before = before;
+    pub fn set_predecessor(&mut self, predecessor: Predecessor) {
+        self.predecessor = predecessor;
     }
 
     /// Notes that the others are known. Parts of a repeat are rounded up where this router is the `rank`th of `routers`, so that what all routers round up
     /// and down is even.
-    pub fn rank(&mut self, rank: u32, routers: u32) {
+    pub fn set_rank(&mut self, rank: u32, routers: u32) {
         self.phase = Some(1.0 - f64::from(rank) / f64::from(routers.max(1)));
     }
 
     /// Notes a request of a caller.
-    pub fn request(&mut self, now: Duration) {
-        forget(&mut self.requests, now);
+    pub fn record_request(&mut self, now: Duration) {
+        expire(&mut self.requests, now);
         let until = now + self.window * 2;
         self.requests.push_back(until);
         self.settled.get_or_insert(until);
@@ -157,59 +157,62 @@
 
     /// Requests in a window. By chance each router has more of them at some moment than on average, but not all routers
     /// at the same one, so what a single window shows counts as far as the one before it agrees.
-    fn usual(&mut self, now: Duration) -> f64 {
-        forget(&mut self.requests, now);
+    fn usual_requests(&mut self, now: Duration) -> f64 {
+        expire(&mut self.requests, now);
         let before = self.requests.partition_point(|until| *until < now + self.window);
         let newest = (self.requests.len() - before) as f64;
         match self.settled.is_some_and(|settled| settled <= now) {
             true => newest.min(self.requests.len() as f64 / 2.0),
-            false => newest - CHANCE * newest.sqrt(),
+            false => newest - COUNT_MARGIN * newest.sqrt(),
         }
     }
 
     /// Repeats in a window that are the part of one of `routers` routers.
-    pub fn part(&mut self, now: Duration, routers: u32) -> u32 {
+    pub fn share(&mut self, now: Duration, routers: u32) -> u32 {
         let even = self.slack / f64::from(routers.max(1));
-        let part = MARGIN * (self.ratio * self.usual(now) + even) * self.known(now);
+        let share =
+            USABLE_RATIO * (self.ratio * self.usual_requests(now) + even) * self.usable_ratio(now);
         match self.phase {
-            Some(phase) => part as u32 + u32::from(part.fract() >= phase),
+            Some(phase) => share as u32 + u32::from(share.fract() >= phase),
             // A router that knows of no others may still repeat one thing.
-            None => (part as u32).max(1),
+            None => (share as u32).max(1),
         }
     }
 
     /// Repeats that may still be sent now by one of `routers` routers.
     pub fn left(&mut self, now: Duration, routers: u32) -> u32 {
-        let part = self.part(now, routers);
-        forget(&mut self.used, now);
-        if self.closed { 0 } else { part.saturating_sub(self.used.len() as u32) }
+        let share = self.share(now, routers);
+        expire(&mut self.used, now);
+        if self.closed { 0 } else { share.saturating_sub(self.used.len() as u32) }
     }
 
     /// The same for one kind of need.
     pub fn left_for(&mut self, need: Need, now: Duration, routers: u32) -> u32 {
         let reserved = match need {
             Need::Begun => 0,
-            Need::New => (RESERVED * f64::from(self.part(now, routers))) as u32,
+            Need::New => (RESERVED_RATIO * f64::from(self.share(now, routers))) as u32,
         };
         self.left(now, routers).saturating_sub(reserved)
     }
 
     /// Part of its part that a router uses whose process started `now` ago. If it used all of it while the process before
     /// did so in the same window, routers that are restarted in turn would use their parts twice.
-    fn known(&self, now: Duration) -> f64 {
-        match self.before {
-            before if before.is_known(now, self.window) => 1.0,
-            Before::Light => LIGHT,
-            Before::First | Before::Told | Before::Unknown => YOUNG,
+    fn usable_ratio(&self, now: Duration) -> f64 {
+        match self.predecessor {
+            predecessor if predecessor.is_known(now, self.window) => 1.0,
+            Predecessor::Light => RATIO_AFTER_LIGHT_USE,
+            Predecessor::First | Predecessor::Told | Predecessor::Unknown => {
+                RATIO_AFTER_UNKNOWN_USE
+            }
         }
     }
 
     /// Whether so much of the part of one of `routers` routers is used that the others have to know.
     pub fn is_heavy(&mut self, now: Duration, routers: u32) -> bool {
-        let part = self.part(now, routers);
-        forget(&mut self.used, now);
-        let used = part.min(self.used.len() as u32);
-        used > 0 && f64::from(used) >= HEAVY * f64::from(part)
+        let share = self.share(now, routers);
+        expire(&mut self.used, now);
+        let used = share.min(self.used.len() as u32);
+        used > 0 && f64::from(used) >= HEAVY_USE_RATIO * f64::from(share)
     }
 
     /// Takes one repeat, if one is left.
@@ -225,12 +228,13 @@
     /// Takes up to `want` repeats at once, for another router.
     pub fn lend(&mut self, need: Need, want: u32, now: Duration, routers: u32) -> Loan {
         let lent = want.min(self.left_for(need, now, routers));
-        let until = now + self.window + ARRIVES;
+        let until = now + self.window + MAX_DELIVERY_DELAY;
         self.used.extend((0..lent).map(|_| until));
         // Requests may raise this part before the oldest use is past.
-        let again = self.used.front().map_or(Duration::ZERO, |until| until.saturating_sub(now));
-        let again = again.min(GROWS).max(ASKED * routers);
-        Loan { lent, again: if lent < want { again } else { Duration::ZERO } }
+        let retry_after =
+            self.used.front().map_or(Duration::ZERO, |until| until.saturating_sub(now));
+        let retry_after = retry_after.min(MAX_ASK_INTERVAL).max(MIN_ASK_INTERVAL * routers);
+        Loan { lent, retry_after: if lent < want { retry_after } else { Duration::ZERO } }
     }
 
     /// Sends and lends nothing more, and says what counts for the next process; none if what the process before this
@@ -238,28 +242,28 @@
     ///
     /// ```
     /// # use std::time::Duration;
-    /// use policy::window::{Before, Budget};
+    /// use policy::window::{Predecessor, Budget};
     /// let fresh = || Budget::new(0.2, 100.0, Duration::from_secs(10));
     /// let (mut old, now) = (fresh(), Duration::from_secs(100));
     /// assert!(old.take(now, 5));
     /// let handover = old.close(now).unwrap();
     /// assert!(!old.take(now, 5));
     /// let (mut next, start) = (fresh(), Duration::from_millis(200));
-    /// next.follow(Before::Told);
+    /// next.set_predecessor(Predecessor::Told);
     /// next.take_over(&handover, Duration::from_secs(1));
     /// assert_eq!(next.left(start, 5) + 1, fresh().left(now, 5));
     /// ```
     pub fn close(&mut self, now: Duration) -> Option<Handover> {
         self.closed = true;
-        forget(&mut self.requests, now);
-        forget(&mut self.used, now);
+        expire(&mut self.requests, now);
+        expire(&mut self.used, now);
         let ages = |untils: &VecDeque<Duration>, counts: Duration| {
             let age = |until: &Duration| (counts + now).saturating_sub(*until).as_millis() as u32;
             untils.iter().map(age).collect()
         };
-        self.before.is_known(now, self.window).then(|| Handover {
+        self.predecessor.is_known(now, self.window).then(|| Handover {
             requests: ages(&self.requests, self.window * 2),
-            used: ages(&self.used, self.window + ARRIVES),
+            used: ages(&self.used, self.window + MAX_DELIVERY_DELAY),
             settled: self.settled.is_some_and(|settled| settled <= now),
         })
     }
@@ -270,8 +274,8 @@
             let until = |age: &u32| counts.checked_sub(gap + Duration::from_millis((*age).into()));
             ages.iter().filter_map(until).collect()
         };
-        insert(&mut self.used, untils(&handover.used, self.window + ARRIVES));
-        insert(&mut self.requests, untils(&handover.requests, self.window * 2));
+        merge(&mut self.used, untils(&handover.used, self.window + MAX_DELIVERY_DELAY));
+        merge(&mut self.requests, untils(&handover.requests, self.window * 2));
         if handover.settled {
             self.settled = Some(Duration::ZERO);
         }
@@ -283,31 +287,31 @@
 /// A router that is cut off from the others is no longer counted, but goes on with its own
 /// part. If the rest divided its part among them at once, more than the whole would be used.
 #[derive(Debug, Clone)]
-pub struct Crowd {
+pub struct Routers {
     assumed: u32,
     keep: Duration,
     counts: VecDeque<(Duration, u32)>,
 }
 
-impl Crowd {
+impl Routers {
     /// `assumed` routers until the first count; counts hold for `keep`.
     ///
     /// ```
     /// # use std::time::Duration;
     /// let second = Duration::from_secs(1);
-    /// let mut crowd = policy::window::Crowd::new(16, 30 * second);
-    /// assert_eq!(crowd.most(second), 16);
-    /// crowd.note(second, 4);
-    /// crowd.note(2 * second, 3);
-    /// assert_eq!(crowd.most(5 * second), 4);
-    /// assert_eq!(crowd.most(40 * second), 3);
+    /// let mut routers = policy::window::Routers::new(16, 30 * second);
+    /// assert_eq!(routers.count(second), 16);
+    /// routers.record(second, 4);
+    /// routers.record(2 * second, 3);
+    /// assert_eq!(routers.count(5 * second), 4);
+    /// assert_eq!(routers.count(40 * second), 3);
     /// ```
-    pub fn new(assumed: u32, keep: Duration) -> Crowd {
-        Crowd { assumed, keep, counts: VecDeque::new() }
+    pub fn new(assumed: u32, keep: Duration) -> Routers {
+        Routers { assumed, keep, counts: VecDeque::new() }
     }
 
     /// Notes a count.
-    pub fn note(&mut self, now: Duration, routers: u32) {
+    pub fn record(&mut self, now: Duration, routers: u32) {
         // Smaller or equal counts before this one no longer matter.
         while self.counts.back().is_some_and(|(_, count)| *count <= routers) {
             self.counts.pop_back();
@@ -319,19 +323,19 @@
     }
 
     /// The most routers counted lately.
-    pub fn most(&self, now: Duration) -> u32 {
+    pub fn count(&self, now: Duration) -> u32 {
         let lately = self.counts.iter().find(|(at, _)| *at + self.keep >= now);
         lately.or(self.counts.back()).map_or(self.assumed, |(_, count)| *count)
     }
 }
 
-fn forget(untils: &mut VecDeque<Duration>, now: Duration) {
+fn expire(untils: &mut VecDeque<Duration>, now: Duration) {
     while untils.front().is_some_and(|until| *until < now) {
         untils.pop_front();
     }
 }
 
-fn insert(untils: &mut VecDeque<Duration>, more: Vec<Duration>) {
+fn merge(untils: &mut VecDeque<Duration>, more: Vec<Duration>) {
     untils.extend(more);
     untils.make_contiguous().sort_unstable();
 }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::queue::{Admit, Ask, Entry, Queue};
+use policy::queue::{Admit, Entry, Queue, Request};
 use policy::refusal::{Reason, Refusal};
 use policy::room::Room;
 use policy::share::Share;
@@ -18,8 +18,8 @@
     Queue::new(vec![share("a", 1, 100), share("b", 1, 3), share("c", 3, 100)])
 }
 
-fn ask(workspace: &str, run: u64, deadline: u64) -> Ask {
-    Ask { workspace: workspace.into(), priority: 5, run: secs(run), deadline: secs(deadline) }
+fn ask(workspace: &str, run: u64, deadline: u64) -> Request {
+    Request { workspace: workspace.into(), priority: 5, run: secs(run), deadline: secs(deadline) }
 }
 
 const FULL: Room = Room { free: 0, slots: 4, routers: 1 };
@@ -40,7 +40,7 @@
 
 struct Refused {
     ahead: usize,
-    ask: Ask,
+    ask: Request,
     room: Room,
     reason: Option<Reason>,
 }
@@ -84,11 +84,11 @@
         let mut room = Room { free: 4, ..FULL };
         while let Some(entry) = queue.next(room, now) {
             room.free -= 1;
-            queue.done(&entry.ask, secs(4));
+            queue.done(&entry.request, secs(4));
         }
         now += secs(4);
     }
-    let again = Ask { deadline: told + secs(20), ..ask("a", 4, 0) };
+    let again = Request { deadline: told + secs(20), ..ask("a", 4, 0) };
     assert!(refusal(queue.admit(again, 1, FULL, told)).is_none());
 }
 
@@ -122,8 +122,8 @@
     let mut given = [0.0, 0.0];
     while given[1] < 150.0 {
         let entry = queue.next(ONE, Duration::ZERO).expect("a request");
-        let i = usize::from(entry.ask.workspace == "c");
-        given[i] += entry.ask.run.as_secs_f64();
+        let i = usize::from(entry.request.workspace == "c");
+        given[i] += entry.request.run.as_secs_f64();
     }
     let relation = given[1] / given[0];
     assert!((2.0..4.5).contains(&relation), "{given:?}");
@@ -135,9 +135,9 @@
 fn priority_does_not_take_another_share() {
     let mut queue = queue();
     for i in 0..50 {
-        let high = Ask { priority: 9, ..ask("a", 4, 100_000) };
+        let high = Request { priority: 9, ..ask("a", 4, 100_000) };
         queue.admit(high, i, FULL, Duration::ZERO);
-        let low = Ask { priority: 0, ..ask("c", 4, 100_000) };
+        let low = Request { priority: 0, ..ask("c", 4, 100_000) };
         queue.admit(low, 1000 + i, FULL, Duration::ZERO);
     }
     let order: Vec<u32> = order(&mut queue, Duration::ZERO).iter().map(|e| e.item).collect();
@@ -195,10 +195,10 @@
         let Admit::Wait(ticket) = admit else { panic!("{admit:?}") };
         queue.admit(ask("c", 7, 1000), 2, FULL, now);
         let entry = queue.next(ONE, now).expect("a request");
-        queue.back(entry);
+        queue.requeue(entry);
         queue.cancel("a", ticket);
         for entry in order(&mut queue, now) {
-            queue.done(&entry.ask, secs(2));
+            queue.done(&entry.request, secs(2));
         }
         assert_eq!((queue.waiting(), queue.running()), (0, 0));
     }
@@ -212,18 +212,18 @@
 fn settings_change_while_requests_wait() {
     let mut queue = queue();
     (0..3).for_each(|i| drop(queue.admit(ask("a", 4, 100), i, FULL, Duration::ZERO)));
-    queue.set(Vec::new());
+    queue.set_shares(Vec::new());
     assert_eq!(
         refusal(queue.admit(ask("a", 4, 100), 9, ONE, secs(1))).map(|r| r.reason),
         Some(Reason::Limit)
     );
     let entry = queue.next(ONE, secs(1)).expect("its turn");
     (0..2).for_each(|_| drop(queue.next(ONE, secs(1))));
-    queue.done(&entry.ask, secs(4));
-    queue.done(&entry.ask, secs(4));
-    queue.done(&entry.ask, secs(4));
-    queue.set(Vec::new());
-    queue.back(entry);
+    queue.done(&entry.request, secs(4));
+    queue.done(&entry.request, secs(4));
+    queue.done(&entry.request, secs(4));
+    queue.set_shares(Vec::new());
+    queue.requeue(entry);
     assert_eq!(queue.expired(FULL, secs(2)).len(), 1, "refused, not lost");
 }
 
@@ -232,7 +232,7 @@
 fn absurd_times_are_refused() {
     for run in [Duration::MAX, Duration::MAX / 2, secs(1 << 40)] {
         let mut queue = queue();
-        let absurd = Ask { run, deadline: Duration::MAX, ..ask("a", 0, 0) };
+        let absurd = Request { run, deadline: Duration::MAX, ..ask("a", 0, 0) };
         let admit = queue.admit(absurd, 1, ONE, secs(1));
         assert_eq!(refusal(admit).map(|r| r.reason), Some(Reason::Long));
     }
@@ -284,14 +284,14 @@
                 }
                 Event::Next => {
                     let entry = queue.next(ONE, now);
-                    prop_assert!(entry.iter().all(|e| now + e.ask.run <= e.ask.deadline));
+                    prop_assert!(entry.iter().all(|e| now + e.request.run <= e.request.deadline));
                     running.extend(entry);
                 }
-                Event::Back => running.pop().into_iter().for_each(|e| queue.back(e)),
-                Event::Lost => running.pop().into_iter().for_each(|e| queue.lost(e)),
+                Event::Back => running.pop().into_iter().for_each(|e| queue.requeue(e)),
+                Event::Lost => running.pop().into_iter().for_each(|e| queue.requeue_first(e)),
                 Event::Done => {
                     if let Some(entry) = running.pop() {
-                        queue.done(&entry.ask, entry.ask.run);
+                        queue.done(&entry.request, entry.request.run);
                         out += 1;
                     }
                 }
--- a/crates/policy/tests/crash.rs
+++ b/crates/policy/tests/crash.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::crash::{HOLD, LIMIT, List, Loss, News, Start, Verdict};
+use policy::crash::{List, Loss, MAX_SUSPECTS, REFUSAL_TIME, Start, Update, Verdict};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -105,7 +105,7 @@
     places: Vec<bool>,
     servers: Vec<(Start, Option<Duration>)>,
     runs: Vec<Run>,
-    notices: Vec<(Duration, usize, News)>,
+    notices: Vec<(Duration, usize, Update)>,
     result: Result,
 }
 
@@ -244,7 +244,7 @@
         let (case, now) = (self.case, self.now);
         for run in self.runs.iter_mut().filter(|run| run.server == Some(server)) {
             let loss = Loss { start: start.clone(), at: now, events: run.events };
-            self.lists[run.router].lost(run.fingerprint, loss, false);
+            self.lists[run.router].record_loss(run.fingerprint, loss, false);
             self.places[run.router] &= !run.alone;
             (run.server, run.before, run.waits, run.alone) = (None, run.events, now, false);
         }
@@ -272,15 +272,15 @@
 
     fn tell(&mut self) {
         for from in 0..self.case.routers {
-            let news = self.lists[from].news(self.now, self.random.random());
-            self.result.longest = self.result.longest.max(news.lost.len());
-            if news == News::default() {
+            let update = self.lists[from].take_update(self.now, self.random.random());
+            self.result.longest = self.result.longest.max(update.lost.len());
+            if update == Update::default() {
                 continue;
             }
             for to in (0..self.case.routers).filter(|to| *to != from) {
                 if self.random.random_bool(1.0 - self.case.lost) {
                     let late = self.case.late.mul_f64(self.random.random());
-                    self.notices.push((self.now + late, to, news.clone()));
+                    self.notices.push((self.now + late, to, update.clone()));
                 }
             }
         }
@@ -290,13 +290,13 @@
         let now = self.now;
         let (due, later) = self.notices.drain(..).partition(|(at, ..)| *at <= now);
         self.notices = later;
-        for (_, to, news) in due {
+        for (_, to, update) in due {
             let list = &mut self.lists[to];
-            for (fingerprint, loss) in news.lost {
-                list.lost(fingerprint, loss, true);
+            for (fingerprint, loss) in update.lost {
+                list.record_loss(fingerprint, loss, true);
             }
-            news.cleared.into_iter().for_each(|(fingerprint, _)| list.clear(fingerprint, now));
-            for (fingerprint, left, servers) in news.refused {
+            update.cleared.into_iter().for_each(|(fingerprint, _)| list.clear(fingerprint, now));
+            for (fingerprint, left, servers) in update.refused {
                 list.refuse(fingerprint, left, servers, now, 0.5);
             }
         }
@@ -369,7 +369,7 @@
     let (mut list, at) = (List::default(), Duration::from_secs);
     for n in 0..20 {
         list.completed(7, at(n));
-        list.lost(7, loss(n, at(n), 0), n % 2 == 0);
+        list.record_loss(7, loss(n, at(n), 0), n % 2 == 0);
         assert_eq!(list.verdict(7, at(n)), Verdict::Clear);
     }
 }
@@ -378,12 +378,12 @@
 #[test]
 fn a_verdict_ends_and_one_more_loss_renews_it() {
     let (mut list, at) = (List::default(), Duration::from_secs);
-    (0..3).for_each(|n| list.lost(7, loss(n, at(n), 0), false));
+    (0..3).for_each(|n| list.record_loss(7, loss(n, at(n), 0), false));
     assert!(matches!(list.verdict(7, at(3)), Verdict::Refused { .. }));
-    let end = at(3) + HOLD;
-    list.news(end, 0.0);
+    let end = at(3) + REFUSAL_TIME;
+    list.take_update(end, 0.0);
     assert_eq!(list.verdict(7, end), Verdict::Alone);
-    list.lost(7, loss(3, end + at(1), 0), false);
+    list.record_loss(7, loss(3, end + at(1), 0), false);
     assert!(matches!(list.verdict(7, end + at(1)), Verdict::Refused { .. }));
 }
 
@@ -391,22 +391,22 @@
 #[test]
 fn a_verdict_of_others_ends() {
     let (mut list, at) = (List::default(), Duration::from_secs);
-    list.refuse(7, HOLD, 3, at(1), 0.0);
+    list.refuse(7, REFUSAL_TIME, 3, at(1), 0.0);
     assert!(matches!(list.verdict(7, at(2)), Verdict::Refused { .. }));
-    list.news(at(1) + HOLD, 0.0);
-    assert_eq!(list.verdict(7, at(1) + HOLD), Verdict::Clear);
-    assert_eq!(list.counts(at(1) + HOLD), (0, 0));
+    list.take_update(at(1) + REFUSAL_TIME, 0.0);
+    assert_eq!(list.verdict(7, at(1) + REFUSAL_TIME), Verdict::Clear);
+    assert_eq!(list.counts(at(1) + REFUSAL_TIME), (0, 0));
 }
 
 /// A flood of suspects takes memory without bound, or pushes out what is refused.
 #[test]
 fn a_flood_of_suspects_is_bounded() {
     let (mut list, at) = (List::default(), Duration::from_millis);
-    (0..3).for_each(|n| list.lost(7, loss(n, at(n), 0), false));
+    (0..3).for_each(|n| list.record_loss(7, loss(n, at(n), 0), false));
     assert!(matches!(list.verdict(7, at(3)), Verdict::Refused { .. }));
-    for n in 0..3 * LIMIT as u64 {
-        list.lost(HARMLESS + n, loss(n, at(100 + n), 0), true);
+    for n in 0..3 * MAX_SUSPECTS as u64 {
+        list.record_loss(HARMLESS + n, loss(n, at(100 + n), 0), true);
     }
-    assert!(list.counts(at(9000)).0 <= LIMIT);
+    assert!(list.counts(at(9000)).0 <= MAX_SUSPECTS);
     assert!(matches!(list.verdict(7, at(9000)), Verdict::Refused { .. }));
 }
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -36,7 +36,7 @@
         queue.extend((0..load.routers).filter(|_| random.random::<f64>() < load.rate * 1e-3));
         for router in queue.drain(..) {
             let (demand, meter) = &mut routers[router];
-            demand.note(now);
+            demand.record(now);
             let share = demand.share(now, load.transfer, PART, load.routers as u32);
             let chosen = !chosen || random.random::<f64>() < share;
             if !chosen || !meter.takes(now, PART, others, Duration::from_millis(250)) {
--- a/crates/policy/tests/fill.rs
+++ b/crates/policy/tests/fill.rs
@@ -4,7 +4,7 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use policy::fill::{Sent, Told};
+use policy::fill::{Report, Sent};
 use policy::suspicion::Suspicion;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -92,18 +92,19 @@
                 let (work, at) = router.told;
                 let ratio = f64::from(running) / f64::from(router.running.max(1));
                 let ratio = ratio.clamp(1.0, play.routers as f64);
-                let told = Told { work, at, lasting: LASTING };
-                let has = if play.counts { told.now(now, &router.sent, ratio) } else { work };
+                let report = Report { work, at, lasting: LASTING };
+                let has =
+                    if play.counts { report.estimate(now, &router.sent, ratio) } else { work };
                 if has + 1.0 > FULL * ROOM || router.declines.holds(now) {
                     continue;
                 }
                 sent += 1;
                 if f64::from(running) >= ROOM {
                     declined += 1;
-                    router.declines.hint(now);
+                    router.declines.record_report(now);
                     continue;
                 }
-                router.sent.note(now, 1.0);
+                router.sent.record(now, 1.0);
                 router.running += 1;
                 ran.push_back((now, running + 1));
                 let lasts = LASTING.mul_f64(rng.random_range(0.5..1.5));
--- a/crates/policy/tests/loan.rs
+++ b/crates/policy/tests/loan.rs
@@ -3,8 +3,8 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
 
-use policy::loan::{AVOIDED, Ask, Borrower, Loan, Round};
-use policy::window::{Before, Budget, Handover, Need};
+use policy::loan::{Borrower, LENDER_BACKOFF, Loan, Request, Round};
+use policy::window::{Budget, Handover, Need, Predecessor};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -135,7 +135,7 @@
 /// A question that a router answers for itself and others.
 struct Relay {
     asker: usize,
-    ask: Ask<usize>,
+    ask: Request<usize>,
     asked: Duration,
     round: Round<usize>,
     loan: Loan,
@@ -191,7 +191,7 @@
 struct Message {
     from: usize,
     to: usize,
-    ask: Ask<usize>,
+    ask: Request<usize>,
     asked: Duration,
     loan: Option<Loan>,
     relay: Option<usize>,
@@ -230,7 +230,7 @@
         self.events.push(std::cmp::Reverse((at, event)));
     }
 
-    fn send(&mut self, from: usize, ask: Ask<usize>, relay: Option<usize>, now: Duration) {
+    fn send(&mut self, from: usize, ask: Request<usize>, relay: Option<usize>, now: Duration) {
         let id = self.messages.len();
         let to = ask.lenders[0];
         let way = self.play.late.mul_f64(self.rng.random());
@@ -267,16 +267,20 @@
     }
 
     /// What a router that starts knows of the process before it.
-    fn before(&self, now: Duration) -> Before {
+    fn before(&self, now: Duration) -> Predecessor {
         let counts = |at: &&Duration| **at + TOLD <= now && now < **at + COUNTS;
-        if self.heavy.iter().rev().any(|at| counts(&at)) { Before::Unknown } else { Before::Light }
+        if self.heavy.iter().rev().any(|at| counts(&at)) {
+            Predecessor::Unknown
+        } else {
+            Predecessor::Light
+        }
     }
 
     /// Starts a new process, which may find the word of the one before it.
     fn start(&mut self, n: usize, word: Option<Word>, now: Duration) {
         self.routers[n] = Router::new(now);
         let before = self.before(now);
-        self.routers[n].budget.follow(before);
+        self.routers[n].budget.set_predecessor(before);
         self.push(now + JOIN, Event::Join(n));
         match word {
             Some(Word::Late(late)) => self.push(now + late, Event::Told(n)),
@@ -289,7 +293,7 @@
         let router = &mut self.routers[n];
         match &self.words[n] {
             Some((handover, ended)) if word != Some(Word::Undated) => {
-                router.budget.follow(Before::Told);
+                router.budget.set_predecessor(Predecessor::Told);
                 router.budget.take_over(handover, router.born - *ended);
             }
             _ => {}
@@ -322,7 +326,7 @@
         if !self.play.lend || !router.borrower.may_ask(&members, now) {
             return self.refuse(n, now);
         }
-        let part = router.budget.part(now - router.born, self.play.routers as u32);
+        let part = router.budget.share(now - router.born, self.play.routers as u32);
         let want = router.waiting.len() as u32;
         let round = router.borrower.round(&members, want, part, now, &mut self.rng);
         router.round = Some((round, 0));
@@ -335,7 +339,7 @@
         let (mut left, mut all) = (0, 0);
         for router in self.routers.iter_mut().skip(dead).filter(|router| !router.down) {
             left += router.budget.left(now - router.born, count);
-            all += router.budget.part(now - router.born, count);
+            all += router.budget.share(now - router.born, count);
         }
         f64::from(left) / f64::from(all.max(1))
     }
@@ -413,7 +417,7 @@
             // An answer that comes late is used by streams that wait by then.
             None if done => {
                 let borrower = &mut self.routers[from].borrower;
-                borrower.trust(ask.lenders[0]);
+                borrower.clear_backoff(ask.lenders[0]);
                 borrower.receive(&ask, loan.expect("an answer"), asked, now);
                 self.serve(from, now);
             }
@@ -423,8 +427,8 @@
                 relay.open -= 1;
                 if let Some(loan) = loan {
                     relay.loan.lent += loan.lent;
-                    relay.loan.again = relay.loan.again.min(loan.again);
-                    relay.round.note(ask, loan);
+                    relay.loan.retry_after = relay.loan.retry_after.min(loan.retry_after);
+                    relay.round.record(ask, loan);
                 }
                 self.relay_next(at, now);
             }
@@ -435,11 +439,11 @@
                     match loan {
                         Some(loan) => {
                             router.borrower.receive(&ask, loan, asked, now);
-                            round.note(ask, loan);
+                            round.record(ask, loan);
                         }
                         None => {
-                            router.borrower.avoid(ask.lenders[0], now + AVOIDED);
-                            round.lost(ask);
+                            router.borrower.back_off(ask.lenders[0], now + LENDER_BACKOFF);
+                            round.timed_out(ask);
                         }
                     }
                     self.serve(from, now);
@@ -521,7 +525,7 @@
                 let gone = world.routers[n].left || world.routers[n].down;
                 let n = if gone { world.elsewhere(n) } else { n };
                 let born = world.routers[n].born;
-                world.routers[n].budget.request(now - born);
+                world.routers[n].budget.record_request(now - born);
             }
             // A router that has just started has no streams.
             Event::Break(n, _) if now < world.routers[n].born + JOIN => {}
@@ -533,7 +537,7 @@
             Event::Restart(n) => {
                 world.routers[n] = Router::new(now);
                 let before = world.before(now);
-                world.routers[n].budget.follow(before);
+                world.routers[n].budget.set_predecessor(before);
                 world.push(now + JOIN, Event::Join(n));
             }
             Event::Stop(n) => world.routers[n].left = moves,
@@ -557,7 +561,7 @@
                 let twice = play.rolling.is_some_and(|rolling| rolling.word == Word::Twice);
                 world.start(n, twice.then_some(Word::Twice), now);
             }
-            Event::Join(n) => world.routers[n].budget.rank(n as u32, routers as u32),
+            Event::Join(n) => world.routers[n].budget.set_rank(n as u32, routers as u32),
             Event::Asked(id) => world.asked(id, now),
             Event::Answered(id) => world.answered(id, false, now),
             Event::Silent(id) => world.answered(id, true, now),
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -3,7 +3,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use policy::quota::{Ask, Grant, Ledger, Permits, Sent, WINDOW};
+use policy::quota::{Grant, Ledger, Permits, Request, Sent, WINDOW};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use rstest::rstest;
@@ -101,9 +101,9 @@
             Event::Request(n) | Event::Answer(n, ..) | Event::Learns(n) => n,
         };
         if let Event::Answer(n, permits, again) = event {
-            let again = Duration::from_millis(again);
+            let retry_after = Duration::from_millis(again);
             routers[n].asking = false;
-            routers[n].permits.receive(Grant { permits, again }, now);
+            routers[n].permits.receive(Grant { permits, retry_after }, now);
             if permits == 0 {
                 continue;
             }
@@ -115,7 +115,7 @@
         let learns = matches!(event, Event::Learns(_));
         let may = !learns && now < router.knows || router.permits.take(now);
         if may {
-            router.sent.note(now);
+            router.sent.record(now);
             got.push(now);
             continue;
         }
@@ -132,7 +132,7 @@
         }
         let (free, last) = router.sent.before(router.knows, now);
         let free_age = now.saturating_sub(last.unwrap_or_default());
-        let ask = Ask { limit: play.limit, free, free_age, want: u32::from(asks) };
+        let ask = Request { limit: play.limit, free, free_age, want: u32::from(asks) };
         let at = now + way / 2;
         let keeper = play.moves.map_or(0, |every| {
             let turn = (at.as_secs_f64() / every.as_secs_f64()) as usize;
@@ -140,8 +140,8 @@
             let old = since < play.both.as_secs_f64() && rng.random::<f64>() < 0.5;
             turn.saturating_sub(usize::from(old))
         });
-        let grant = ledgers[keeper % 64].ask(&format!("vm-{n}"), ask, at);
-        let answer = Event::Answer(n, grant.permits, grant.again.as_millis() as u64);
+        let grant = ledgers[keeper % 64].grant(&format!("vm-{n}"), ask, at);
+        let answer = Event::Answer(n, grant.permits, grant.retry_after.as_millis() as u64);
         events.push(std::cmp::Reverse((now + way, answer)));
     }
     (asked, got)
@@ -219,7 +219,7 @@
 fn refused_callers_come_back_one_by_one() {
     let second = Duration::from_secs(1);
     let mut permits = Permits::default();
-    let times: Vec<Duration> = (0..8).map(|_| permits.come_back(2.0, 1, 10 * second)).collect();
+    let times: Vec<Duration> = (0..8).map(|_| permits.retry_after(2.0, 1, 10 * second)).collect();
     assert!(times.windows(2).all(|pair| pair[1] - pair[0] == second / 2), "{times:?}");
-    assert!((0..50).all(|_| permits.come_back(2.0, 1, 10 * second) <= 6 * second));
+    assert!((0..50).all(|_| permits.retry_after(2.0, 1, 10 * second) <= 6 * second));
 }
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -5,9 +5,9 @@
 use policy::health::State;
 use policy::limit::{Admit, Kind, Objective, Slots};
 use policy::link::Links;
-use policy::quarantine::{LIMIT, List, Verdict};
+use policy::quarantine::{List, MAX_FINGERPRINTS, Verdict};
 use policy::retry::{BURST, Budget, Failure, Outcome, Retry, Stop};
-use policy::route::{Ask, End, Load, Table};
+use policy::route::{End, Load, Request, Table};
 use policy::work::Cost;
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -33,13 +33,13 @@
     Load { slots: 8, busy, step_us: step * 1000, leaving: false, age: Duration::ZERO }
 }
 
-fn ask(prefix: Option<u64>) -> Ask<'static> {
+fn ask(prefix: Option<u64>) -> Request<'static> {
     let cost = Cost { prompt: 64, output: 64 };
-    Ask { cost, left: secs(1000), prefix, keyed: false, recovery: false, from: 0, avoid: &[] }
+    Request { cost, left: secs(1000), prefix, keyed: false, recovery: false, from: 0, avoid: &[] }
 }
 
 /// How many of `n` choices each VM heads.
-fn heads(table: &Table, ask: &Ask, now: Duration, n: usize) -> Vec<usize> {
+fn heads(table: &Table, ask: &Request, now: Duration, n: usize) -> Vec<usize> {
     let mut rng = Pcg64::seed_from_u64(7);
     let mut counts = vec![0; 20];
     for _ in 0..n {
@@ -85,7 +85,7 @@
         table.ended("vm-0", End::Failed, secs(1));
     }
     assert_eq!(heads(&table, &ask(None), secs(2), 200)[0], 0);
-    let back = secs(1) + policy::health::EJECT;
+    let back = secs(1) + policy::health::MIN_EJECTION;
     let mut allowed = Vec::new();
     for _ in 0..5 {
         let mut n = 0;
@@ -171,7 +171,7 @@
 fn a_keyed_call_prefers_the_same_server_whatever_its_load() {
     let mut first = table(&[10; 3]);
     let second = table(&[10; 3]);
-    let keyed = Ask { keyed: true, ..ask(Some(77)) };
+    let keyed = Request { keyed: true, ..ask(Some(77)) };
     let counts = heads(&second, &keyed, secs(1), 50);
     let home = counts.iter().position(|c| *c == 50).expect("always the same");
     first.report(&format!("vm-{home}"), &load(8, 10), secs(1));
@@ -241,7 +241,7 @@
     let mut list = List::new(secs(600));
     assert!(list.crashed(&[1, 2, 3, 4, 5, 6, 7, 8], secs(1)).is_empty());
     let mut peer = List::new(secs(600));
-    peer.learn(&list.suspects(secs(1)), &[], secs(1));
+    peer.merge(&list.suspects(secs(1)), &[], secs(1));
     assert_eq!(peer.verdict(3, secs(2)), Verdict::Alone);
     for innocent in [1, 2, 4, 5, 6, 7, 8] {
         peer.completed(innocent);
@@ -251,7 +251,7 @@
     assert_eq!(peer.verdict(3, secs(3)), Verdict::Refused { left: secs(600) });
     assert_eq!(peer.verdict(3, secs(604)), Verdict::Clear, "after the set time");
     (0..5000).for_each(|f| drop(peer.crashed(&[f + 100], secs(5))));
-    assert!(peer.suspects(secs(5)).len() + peer.refused(secs(5)).len() <= LIMIT);
+    assert!(peer.suspects(secs(5)).len() + peer.refused(secs(5)).len() <= MAX_FINGERPRINTS);
     assert!(matches!(peer.verdict(3, secs(5)), Verdict::Refused { .. }), "kept when full");
 }
 
--- a/crates/policy/tests/shortage.rs
+++ b/crates/policy/tests/shortage.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use policy::shortage::{SHORTEST, Shortage};
+use policy::shortage::{MIN_RETRY_AFTER, Shortage};
 
 /// Length of the shortage.
 const SHORT: Duration = Duration::from_secs(8);
@@ -48,7 +48,7 @@
 /// must be told a time at which they are served.
 #[test]
 fn callers_come_back_to_free_places() {
-    let soon = lost(|_, _| SHORTEST);
+    let soon = lost(|_, _| MIN_RETRY_AFTER);
     let told = lost(|shortage, now| shortage.refused(now));
     assert!(2 * told <= soon, "{told} lost, and {soon} if they come back soon");
 }
