--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use policy::meter::Meter;
-use policy::suspicion::{FIRST, LONGEST, Suspicion};
-use policy::window::{Budget, Crowd};
+use policy::suspicion::{MAX_PAUSE, MIN_PAUSE, Suspicion};
+use policy::window::{Budget, Routers};
 use rstest::rstest;
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -25,7 +25,7 @@
         let now = Duration::from_millis(100 * tick);
         for budget in &mut budgets {
             if tick % 10 == 0 {
-                (0..per_second).for_each(|_| budget.request(now));
+                (0..per_second).for_each(|_| budget.record_request(now));
                 requests.extend((0..per_second).map(|_| now));
             }
             while budget.take(now, routers) {
@@ -56,14 +56,14 @@
 #[test]
 fn routers_that_vanish_are_counted_for_a_while() {
     let second = Duration::from_secs(1);
-    let mut crowd = Crowd::new(16, 30 * second);
-    crowd.note(second, 4);
-    (2..20).for_each(|s| crowd.note(s * second, 3));
-    assert_eq!(crowd.most(20 * second), 4);
-    (20..60).for_each(|s| crowd.note(s * second, 3));
-    assert_eq!(crowd.most(60 * second), 3);
-    crowd.note(61 * second, 5);
-    assert_eq!(crowd.most(61 * second), 5);
+    let mut routers = Routers::new(16, 30 * second);
+    routers.record(second, 4);
+    (2..20).for_each(|s| routers.record(s * second, 3));
+    assert_eq!(routers.count(20 * second), 4);
+    (20..60).for_each(|s| routers.record(s * second, 3));
+    assert_eq!(routers.count(60 * second), 3);
+    routers.record(61 * second, 5);
+    assert_eq!(routers.count(61 * second), 5);
 }
 
 /// A server goes down and up by turns. Requests are sent to it less and less often.
@@ -73,18 +73,18 @@
     let mut now = Duration::from_secs(10);
     let mut pauses = Vec::new();
     for _ in 0..6 {
-        suspicion.fail(now);
+        suspicion.record_failure(now);
         let from = now;
         while suspicion.holds(now) {
             now += Duration::from_millis(10);
         }
         pauses.push(now - from);
     }
-    assert_eq!(pauses[0], FIRST);
+    assert_eq!(pauses[0], MIN_PAUSE);
     assert!(pauses.windows(2).all(|p| p[0] <= p[1]));
-    assert_eq!(pauses[5], LONGEST);
+    assert_eq!(pauses[5], MAX_PAUSE);
     suspicion.clear();
-    assert!(!suspicion.open());
+    assert!(!suspicion.is_unresolved());
 }
 
 /// A server that was passed over answers a question. It is used again at once, also by the router that
@@ -93,12 +93,12 @@
 fn an_answer_ends_the_suspicion() {
     let mut suspicion = Suspicion::default();
     let now = Duration::from_secs(10);
-    suspicion.fail(now);
+    suspicion.record_failure(now);
     suspicion.clear();
-    assert!(!suspicion.holds(now) && !suspicion.open());
+    assert!(!suspicion.holds(now) && !suspicion.is_unresolved());
     // It flaps: the pause is longer than the first time.
-    suspicion.fail(now + FIRST);
-    assert!(suspicion.holds(now + FIRST * 2) && suspicion.open());
+    suspicion.record_failure(now + MIN_PAUSE);
+    assert!(suspicion.holds(now + MIN_PAUSE * 2) && suspicion.is_unresolved());
 }
 
 /// Failures of requests that were under way together count once.
@@ -106,8 +106,8 @@
 fn failures_at_once_count_once() {
     let mut suspicion = Suspicion::default();
     let now = Duration::from_secs(1);
-    (0..40).for_each(|_| suspicion.fail(now));
-    assert!(!suspicion.holds(now + FIRST));
+    (0..40).for_each(|_| suspicion.record_failure(now));
+    assert!(!suspicion.holds(now + MIN_PAUSE));
 }
 
 /// Routers send prompts over one link at several times its rate. Each stops as soon as its own
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -65,9 +65,9 @@
         }
     }
 
-    pub(crate) fn ask(&self, wait: &Wait, left: Duration, now: Duration) -> queue::Ask {
+    pub(crate) fn ask(&self, wait: &Wait, left: Duration, now: Duration) -> queue::Request {
         let run = wait.want.cost.run(self.table.step());
-        queue::Ask {
+        queue::Request {
             workspace: wait.want.workspace.clone(),
             priority: wait.want.priority,
             // Before the first step time nothing is known, and nothing is refused as too long.
@@ -157,7 +157,7 @@
         rng: &mut impl Rng,
     ) -> Option<Chain> {
         let wait = slip.wait();
-        let mut ask = route::Ask {
+        let mut ask = route::Request {
             cost: wait.want.cost,
             left: wait.want.until.saturating_duration_since(Instant::now()),
             prefix: wait.want.prefix,
@@ -184,7 +184,7 @@
         rng: &mut impl Rng,
     ) -> Vec<Vm> {
         let Some(range) = self.range(&Backend::Stage(stage)) else { return Vec::new() };
-        let ask = route::Ask {
+        let ask = route::Request {
             cost: Cost { prompt: 1, output: 1 },
             left: Duration::from_secs(1),
             prefix: None,
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -166,7 +166,7 @@
         match slip {
             Slip::Queued(entry) => {
                 let _ = entry.item.reply.try_send(Answer::Waiting(entry.ticket));
-                self.pools[i].queue.back(*entry);
+                self.pools[i].queue.requeue(*entry);
             }
             Slip::Recovery(_) => self.pools[i].recovering.push(slip),
         }
@@ -196,7 +196,7 @@
             let pool = &mut self.pools[i];
             let room = pool.table.room(routers, now);
             let table = &pool.table;
-            let likes = |w: &Wait| w.want.prefix.map_or(0, |p| table.likes(p, now));
+            let likes = |w: &Wait| w.want.prefix.map_or(0, |p| table.cached_ranges(p, now));
             let Some(entry) = pool.queue.next_by(room, now, likes) else { break };
             if let Some(slip) = self.start(i, Slip::Queued(Box::new(entry))) {
                 self.put_back(i, slip);
@@ -224,7 +224,7 @@
             pool.budget.succeeded();
         }
         match slip {
-            Slip::Queued(entry) => pool.queue.done(&entry.ask, held),
+            Slip::Queued(entry) => pool.queue.done(&entry.request, held),
             Slip::Recovery(_) => {}
         }
         self.pump(&target);
@@ -254,7 +254,7 @@
             Slip::Queued(entry) => entry,
         };
         let waits = busy || blamed && outcome == retry::Outcome::NotRun;
-        let (run, deadline) = (entry.ask.run, entry.ask.deadline);
+        let (run, deadline) = (entry.request.run, entry.request.deadline);
         let failure = retry::Failure { outcome, tries, run, deadline };
         let pause = match pool.budget.decide(&failure, now, &mut self.rng) {
             // The agent that refused counts as full until it says otherwise, so the next
@@ -274,9 +274,10 @@
     }
 
     fn give_up(&mut self, i: usize, entry: Entry<Wait>, failed: Refusal, stop: Stop) {
-        self.pools[i].queue.done(&entry.ask, Duration::ZERO);
+        self.pools[i].queue.done(&entry.request, Duration::ZERO);
         let why = format!("{}; {stop}", failed.reason);
-        let after = failed.retry_after.unwrap_or(refusal::SOON).max(refusal::SOON);
+        let after =
+            failed.retry_after.unwrap_or(refusal::MIN_RETRY_AFTER).max(refusal::MIN_RETRY_AFTER);
         let refusal = Refusal { reason: why, ..failed }.after(after);
         self.count(&refusal);
         let _ = entry.item.reply.try_send(Answer::Refused(refusal));
@@ -359,7 +360,7 @@
                 pool.vms.clear();
                 pool.model = model;
             }
-            pool.queue.set(shares(&fleet));
+            pool.queue.set_shares(shares(&fleet));
             for report in &self.reports {
                 pool.report(report, now);
             }
