--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -1,30 +1,29 @@
-//! Which replica a prefix or key belongs to, without shared state.
+//! The choice of a replica for a prefix or key, without shared state.
 //!
-//! Load pattern: prompts that begin alike, and repeats of the same keyed call. Sent to any replica,
-//! each engine computes and caches the same prefix, and the limited cache holds little
-//! else. With the choice bound to a hash alone, one popular prefix overloads its replica.
+//! Load pattern: prompts that begin alike, and retries of the same keyed call. Sent to any replica, each engine
+//! computes and caches the same prefix, and the limited cache holds little else. With the choice bound to a hash
+//! alone, one popular prefix overloads its replica.
 //!
-//! All routers rank the replicas by a rendezvous hash: no cache events are needed,
-//! so late or missing ones do no harm, and when a replica goes only its own prefixes
-//! move. The preferred replica is taken only while its load is at most [`LOAD_BOUND`] times the
-//! mean of its range (bounded loads); past that the choice is made by load alone.
+//! All routers rank the replicas by a rendezvous hash: no cache events are needed, so late or missing ones do no
+//! harm, and when a replica is lost only its own prefixes move. The preferred replica is taken only while its load is
+//! at most [`LOAD_BOUND`] times the mean of its range (bounded loads); beyond that the choice is made by load alone.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Load relative to the range's mean up to which a prefix keeps its replica.
 ///
-/// At 1.0 a prefix moves at every unevenness and caches stay cold; at 2.0 a single
-/// popular prefix doubles the load of its replica. See the sweep in docs/design/decisions.md.
+/// At 1.0 a prefix moves at every imbalance and caches stay cold; at 2.0 a single popular prefix doubles the load of
+/// its replica. See the sweep in docs/design/decisions.md.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// Replicas of a range that share a prefix, where one is not enough: with more, a free slot
-/// more often suits a prefix that waits, but each engine's cache has to hold more prefixes.
+/// Number of replicas of a range that share a prefix, where one is not enough: with more, a free slot more often
+/// suits a waiting prefix, but each engine's cache has to hold more prefixes.
 pub const HOMES: usize = 5;
 
 /// Hash of the text that a prompt begins with, or of a call's key.
 pub type Prefix = u64;
 
-/// Hash of the first `bytes` bytes of a text; the whole text if it is shorter.
+/// Returns the hash of the first `bytes` bytes of a text; of the whole text if it is shorter.
 ///
 /// ```
 /// use policy::affinity::prefix;
@@ -35,7 +34,7 @@
     xxh3_64_with_seed(&raw[..bytes.min(raw.len())], 0)
 }
 
-/// Hash of a VM's name, kept beside it so that a choice hashes no text.
+/// Returns the hash of a VM's name, kept beside it so that a choice hashes no text.
 ///
 /// ```
 /// assert_ne!(policy::affinity::seed("gpu-1"), policy::affinity::seed("gpu-2"));
@@ -44,7 +43,7 @@
     xxh3_64_with_seed(vm.as_bytes(), 1)
 }
 
-/// Rank of a VM for a prefix; the highest is preferred. `slots` weighs it.
+/// Returns the rank of a VM for a prefix; the highest is preferred. It is weighted by `slots`.
 ///
 /// ```
 /// use policy::affinity::{rank, seed};
@@ -60,8 +59,8 @@
     -f64::from(slots) / log2(u).min(-f64::MIN_POSITIVE)
 }
 
-/// Binary logarithm of a number in (0, 1) to about 0.01, from its exponent and a parabola
-/// through its mantissa: a choice takes hundreds of them, and all routers get the same.
+/// Returns the binary logarithm of a number in (0, 1) to about 0.01, from its exponent and a parabola through its
+/// mantissa: a choice takes hundreds of them, and all routers get the same.
 fn log2(u: f64) -> f64 {
     let bits = u.to_bits();
     let exponent = (bits >> 52) as i32 - 1023;
@@ -69,8 +68,8 @@
     f64::from(exponent) + mantissa * (1.3465 - 0.3465 * mantissa)
 }
 
-/// True when a replica with `busy` of `slots` may take one more of its own prefix, in a range
-/// with `all_busy` of `all_slots`; `bound` is usually [`LOAD_BOUND`].
+/// Returns true when a replica with `busy` of `slots` may take one more request of its own prefix, in a range with
+/// `all_busy` of `all_slots`; `bound` is usually [`LOAD_BOUND`].
 ///
 /// ```
 /// use policy::affinity::within_bound;
--- a/crates/policy/src/breaks.rs
+++ b/crates/policy/src/breaks.rs
@@ -1,25 +1,26 @@
-//! Whether a server that lives breaks off what it runs.
+//! Detection of a server that is up but breaks off what it runs.
 //!
-//! Load pattern: a server resets the connections of requests, or of most of them, and answers each question for its state. All
-//! that it breaks off is sent on out of the retry budget, while new requests keep coming to it. One broken run says little: the
-//! request may be at fault, or the connection. Several of them without as many that went on say that it is the server.
+//! Load pattern: a server resets the connections of requests, or of most of them, and answers each status request.
+//! All that it breaks off is sent again out of the retry budget, while new requests keep going to it. One broken run
+//! says little: the request may be at fault, or the connection. Several of them without as many sound runs show that
+//! the server is at fault.
 
 use std::time::Duration;
 
-/// Broken runs, less those that went on, from which on a server is passed over.
+/// Broken runs, less the sound ones, from which on a server is passed over.
 const MAX_BROKEN_RUNS: u32 = 3;
 
-/// Time without a broken run after which those of before no longer count.
+/// Time without a broken run after which earlier ones no longer count.
 const RESET_TIME: Duration = Duration::from_secs(5);
 
-/// Time for which a server that broke off one run, at any router, is avoided by requests that have used a run already and may have
-/// few more. New requests still go there: most servers that break off one run serve the next ones.
+/// Time for which a server that broke off one run, of any router, is avoided by requests that have used a run already
+/// and may have few left. New requests still go there: most servers that break off one run serve the next ones.
 pub const RETRY_AVOIDANCE: Duration = Duration::from_secs(1);
 
-/// Time for which other routers need not be told of a further broken run.
+/// Time for which other routers need not be notified of a further broken run.
 pub const NOTICE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Runs that a server broke off lately, less those that went on.
+/// Runs that a server broke off lately, less the sound ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Tally {
     count: u32,
@@ -27,7 +28,8 @@
 }
 
 impl Tally {
-    /// Notes that it broke a run off; whether it is to be passed over for a while. One more after that is enough again.
+    /// Records a run that the server broke off. Returns whether the server is to be passed over for a while; after
+    /// that one more broken run is enough again.
     ///
     /// ```
     /// use std::time::Duration;
@@ -50,7 +52,7 @@
         self.count == MAX_BROKEN_RUNS
     }
 
-    /// Notes that a run went on there.
+    /// Records a run that continued there.
     pub fn record_sound_run(&mut self) {
         self.count = self.count.saturating_sub(1);
     }
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -1,12 +1,12 @@
 //! The choice of a chain among the replicas with free slots.
 //!
-//! Load pattern: saturation of a mixed fleet. A draft holds a slot in each range for its whole run, so
-//! a fast stage beside a slow one is wasted. The rate of a chain is 1 / (sum of its
-//! steps), which is supermodular: the fleet does most when fast goes with fast. With
-//! step times in a relation of 2 : 3 : 4.5 a random match loses 7% of the throughput.
+//! Load pattern: saturation of a mixed fleet. A draft holds a slot in each range for its whole run, so a fast stage
+//! beside a slow one is wasted. The rate of a chain is 1 / (sum of its steps), which is supermodular: the fleet does
+//! most when fast replicas are chained with fast ones. With step times in a ratio of 2 : 3 : 4.5 a random match loses
+//! 7% of the throughput.
 //!
-//! So the head is chosen by time, and the replicas after it by how far their step time is
-//! from the one at the head's quantile in its own range. Each link counts in the same unit.
+//! So the head is chosen by time, and the replicas after it by the distance of their step time from the one at the
+//! head's quantile in their own range. Each link counts in the same unit.
 
 use std::time::Duration;
 
@@ -19,55 +19,55 @@
 use crate::tuning::Tuning;
 use crate::work::PREFILL;
 
-/// Entries of a range's list: one refusal and one loss on the way leave a third.
+/// Entries of a range's list: after one refusal and one loss in transit a third is left.
 pub const CANDIDATES: usize = 3;
 
-/// How much a full replica's time counts above an idle one's: batches lengthen steps.
+/// Ratio by which the time of a full replica counts above that of an idle one: batches lengthen steps.
 pub const FULL_LOAD_PENALTY: f64 = 0.25;
 
-/// Added to a replica's cost, relative to the range's mean step, before it weighs in the draw: small
-/// values draw nearly always the best fit and herd there, large ones draw by free slots alone.
+/// Added to a replica's cost, relative to the range's mean step, before it weighs in the draw: with small values
+/// nearly always the best fit is drawn and routers herd there, with large ones the draw is by free slots alone.
 pub const COST_SMOOTHING: f64 = 0.03;
 
-/// Links and distance of a chain's steps from the best match, relative to the mean step, up to which
-/// no other head is tried.
+/// Links and distance of a chain's steps from the best match, relative to the mean step, up to which no other head is
+/// tried.
 const GOOD_FIT: f64 = 0.02;
 
-/// Part of the time that a better match would save for which slots that match badly are left free.
+/// Ratio of the time that a better match would save for which slots that match badly are left free.
 ///
-/// In a full fleet the slots of an ended draft are the only free ones, so a chain once
-/// matched badly would be filled again and again. A chain that matches well is filled
-/// at once, so what this costs falls as the matches get better. Where no better match exists, as after
-/// the loss of a data centre, the time is wasted: hence only a part of what could be saved.
+/// In a full fleet the slots of an ended draft are the only free ones, so a chain once matched badly would be filled
+/// again and again. A chain that matches well is filled at once, so what this costs falls as the matches get better.
+/// Where no better match exists, as after the loss of a data centre, the time is wasted: hence only a part of what
+/// could be saved.
 pub const HOLD_RATIO: f64 = 0.25;
 
 /// Longest time for which slots are left free for a better match.
 pub const MAX_HOLD: Duration = Duration::from_millis(500);
 
-/// What a full replica counts for a draft that lost a stage, in free slots: it may have a reserve.
+/// Weight of a full replica for a draft that lost a stage, in free slots: it may have a reserve.
 const FULL_REPLICA_WEIGHT: f64 = 0.1;
 
 /// A head with candidates for the other ranges.
 struct Picked {
     head: usize,
     others: Vec<Vec<usize>>,
-    /// Cost of the others relative to the mean step: links, and distance from the steps that suit.
+    /// Cost of the other ranges' replicas relative to the mean step: links, and distance from the steps that match.
     mismatch: f64,
     /// Since when the first of its replicas has a free slot.
     free_since: Duration,
 }
 
-/// What suits the next range of a chain.
+/// What matches the next range of a chain.
 struct Fit {
     /// Data centre of the hop before.
     from: DataCentre,
     /// Mean step time of the range in microseconds.
     mean: f64,
-    /// Step time that suits the head best in microseconds; 0 for the head itself.
+    /// Step time that matches the head best in microseconds; 0 for the head itself.
     target: f64,
 }
 
-/// A choice to be made.
+/// The input of a choice.
 pub(crate) struct Choice<'a> {
     pub(crate) ranges: &'a [Range],
     pub(crate) links: &'a Links,
@@ -77,7 +77,7 @@
 }
 
 impl Choice<'_> {
-    /// Indices of the candidates for each range; `None` when the request has to wait.
+    /// Returns the indices of the candidates for each range; `None` when the request has to wait.
     pub(crate) fn make(&self, rng: &mut impl Rng) -> Option<Vec<Vec<usize>>> {
         if self.ranges.is_empty() {
             return None;
@@ -104,7 +104,7 @@
         Some(lists)
     }
 
-    /// How long slots that match this badly are left free: what a better match would save, in part.
+    /// Returns how long slots that match this badly are left free: a part of what a better match would save.
     fn hold(&self, mismatch: f64) -> Duration {
         let mean: f64 = self.ranges.iter().map(Range::mean_step).sum();
         let run = self.request.cost.run(Duration::from_secs_f64(mean / 1e6));
@@ -114,7 +114,7 @@
         run.mul_f64(mismatch * self.tuning.hold_ratio).min(self.tuning.max_hold)
     }
 
-    /// Candidates for the head: those whose chains end before the deadline, if there are any.
+    /// Returns the candidates for the head: those whose chains end before the deadline, if there are any.
     fn heads(&self, home: Option<usize>, rng: &mut impl Rng) -> Vec<usize> {
         let range = &self.ranges[0];
         let steps = f64::from(self.request.cost.steps());
@@ -132,7 +132,7 @@
         picks
     }
 
-    /// The ranges after the head.
+    /// Chooses the ranges after the head.
     fn complete(&self, head: usize, homes: &[Option<usize>], rng: &mut impl Rng) -> Option<Picked> {
         let first = &self.ranges[0].list[head];
         let quantile = self.ranges[0].quantile(first.step());
@@ -190,7 +190,7 @@
         picks
     }
 
-    /// Free slots as this request sees them.
+    /// Returns the free slots that this request may use.
     fn free(&self, r: &Replica) -> f64 {
         match r.free(self.now) {
             0 if self.request.recovery && r.limit(self.now) > 0 => FULL_REPLICA_WEIGHT,
@@ -198,7 +198,7 @@
         }
     }
 
-    /// The replica of the request's prefix or key, when it may take one more.
+    /// Returns the replica of the request's prefix or key, when it may take one more.
     fn home(&self, range: &Range) -> Option<usize> {
         let usable = |r: &Replica| r.limit(self.now) > 0 && !self.request.avoid.contains(&r.vm);
         let mut homes = range.homes(self.request.prefix?, usable);
@@ -206,13 +206,13 @@
         homes.find(|&home| self.request.keyed || range.within_bound(home, bound, self.now))
     }
 
-    /// Microseconds that each token costs: the link, and the step time or its distance from the best.
+    /// Returns the microseconds that each token costs: the link, and the step time or its distance from the best.
     fn cost(&self, r: &Replica, fit: &Fit) -> f64 {
         let link = self.links.time(fit.from, r.data_centre).as_secs_f64() * 1e6;
         (r.step() - fit.target).abs() + link
     }
 
-    /// Microseconds that the whole request costs.
+    /// Returns the microseconds that the whole request costs.
     fn time(&self, r: &Replica, fit: &Fit, cached: bool) -> f64 {
         let prompt = if cached { 0 } else { self.request.cost.prompt.div_ceil(PREFILL) };
         let load =
--- a/crates/policy/src/crash.rs
+++ b/crates/policy/src/crash.rs
@@ -1,15 +1,16 @@
 //! Requests whose content ends the backend servers that run them.
 //!
-//! Load pattern: one request ends each server that runs it. Its caller sends it again and again, each time under another id
-//! and to any router, and each router sends it on to the next server as it does with all that broke off. Each server takes
-//! tens of other requests with it, which come to the next servers together with the one at fault.
+//! Load pattern: one request ends each server that runs it. Its caller sends it again and again, each time under
+//! another id and to any router, and each router sends it on to the next server as it does with every request whose
+//! connection broke. Each server ends with tens of other requests, which go to the next servers together with the one
+//! at fault.
 //!
-//! What ran on a server that has ended is a suspect until it gets past the event at which it was lost, on any server. A
-//! suspect of two losses runs with no other suspect beside it, so that a third loss names one request; after
-//! [`MIN_LOSSES_TO_REFUSE`] of them it is refused. Where servers end in bulk, a loss is less of a reason, as is one that several
-//! requests share: then it takes more of them, and until they are told apart none of the suspects is sent for a moment.
-//! All routers tell each other of losses and of what is refused. A verdict ends by time, and as soon as the
-//! request gets further anywhere.
+//! A request that ran on a server that has ended is a suspect until it gets past the event at which it was lost, on
+//! any server. A suspect of two losses runs with no other suspect beside it, so that a third loss identifies one
+//! request; after [`MIN_LOSSES_TO_REFUSE`] losses it is refused. Where servers end in bulk, a loss has less weight,
+//! as has one that several requests share: then it takes more of them, and until they can be told apart none of the
+//! suspects is sent for a short time. All routers notify each other of losses and of what is refused. A verdict ends
+//! after a time, and as soon as the request gets further anywhere.
 
 use std::time::Duration;
 
@@ -18,76 +19,76 @@
 /// Losses after which a request is refused.
 pub const MIN_LOSSES_TO_REFUSE: usize = 3;
 
-/// Losses after which a request runs alone.
+/// Losses after which a request is a suspect and runs alone.
 const MIN_LOSSES_TO_SUSPECT: usize = 2;
 
-/// Losses that are kept of a request, the latest ones. A server whose loss is forgotten counts as one that ended
-/// of itself.
+/// Losses kept of a request, the latest ones. A server whose loss was dropped counts as one that ended by itself.
 const MAX_LOSSES_KEPT: usize = 16;
 
-/// Weight of losses from which on a request is refused: three, one of which may have another explanation.
+/// Weight of losses from which on a request is refused: three losses, one of which may have another explanation.
 const MIN_WEIGHT_TO_REFUSE: f64 = 2.5;
 
 /// Weight of losses from which on a request runs alone.
 const MIN_WEIGHT_TO_ISOLATE: f64 = 1.5;
 
-/// Time within which servers that end do so together.
+/// Time within which servers that end count as ending together.
 const BULK_WINDOW: Duration = Duration::from_secs(1);
 
 /// Time for which a request is refused.
 pub const REFUSAL_TIME: Duration = Duration::from_secs(600);
 
-/// Time for which a loss counts: beyond the end of a verdict, so that one more is enough then.
+/// Time for which a loss counts. It is longer than a verdict, so that one more loss after its end is enough.
 const LOSS_LIFETIME: Duration = Duration::from_secs(2 * 600);
 
-/// Time for which suspects that are not told apart yet are not sent. Those that are not at fault get past their losses
-/// meanwhile.
+/// Time for which suspects are not sent while they can't be told apart. Those that are not at fault get past their
+/// losses meanwhile.
 const UNDECIDED_PAUSE: Duration = Duration::from_secs(1);
 
-/// Time for which a request that came to its end is remembered at least: losses that are remote of later are not its own.
+/// Shortest time for which a completed request is remembered: losses that are reported later are not its own.
 const COMPLETION_LIFETIME: Duration = Duration::from_secs(5);
 
-/// Suspects kept at most.
+/// Largest number of suspects kept.
 pub const MAX_SUSPECTS: usize = 1024;
 
-/// Ended servers kept at most.
+/// Largest number of ended servers kept.
 const MAX_ENDED_SERVERS: usize = 512;
 
-/// Requests with many losses up to which each of them explains the end of its servers. Beyond it servers end in bulk.
+/// Number of requests with many losses up to which each of them explains the end of its servers. With more of them
+/// servers end in bulk.
 const MAX_EXPLAINING_REQUESTS: usize = 8;
 
-/// Losses that are told at a time, the gravest first. When a server ends with hundreds of runs, most of them
-/// are past their loss by the time it would be told.
+/// Largest number of losses in one update, those of the gravest suspects first. When a server ends with hundreds of
+/// runs, most of these are past their loss by the time it would be sent.
 const MAX_LOSSES_PER_UPDATE: usize = 32;
 
-/// Time for which a first loss is not told yet, as most requests get past it. One of a suspect is told at once.
+/// Time for which a first loss is held back, as most requests get past it. A loss of a suspect is sent at once.
 pub const FIRST_LOSS_DELAY: Duration = Duration::from_millis(100);
 
-/// Time after which what is refused is told again, so that routers which could not hear of it do: at first sooner, as a
-/// notice may be lost.
+/// Time after which a refusal is sent again, for routers that could not receive it. The first resends come sooner, as
+/// a notice may be lost.
 const RESEND_INTERVAL: Duration = Duration::from_secs(4);
 const FIRST_RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How often it is told again soon.
+/// Number of resends after the shorter interval.
 const FAST_RESENDS: u32 = 2;
 
 /// One start of a server.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Start {
-    /// Its id.
+    /// Id of the server.
     pub id: String,
-    /// When it started, in milliseconds of Unix time; nought if it does not say.
+    /// When it started, in milliseconds of Unix time; 0 if it does not say.
     pub born: u64,
 }
 
 /// A run that ended with its server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Loss {
-    /// The server.
+    /// The start of the server.
     pub start: Start,
     /// When it ended, on the clock of the list.
     pub at: Duration,
-    /// Events of the answer that had come until then, in all runs.
+    /// Events of the answer that had been received until then, in all runs.
     pub events: u64,
 }
 
@@ -98,19 +99,19 @@
     Clear,
     /// Send it with no other suspect beside it.
     Alone,
-    /// Send it later: it is one of several that may be at fault.
+    /// Send it later: it is one of several requests that may be at fault.
     Later {
-        /// Time until it may come back.
+        /// Time until it may be sent again.
         left: Duration,
     },
     /// Refuse it.
     Refused {
-        /// Time until it may come back.
+        /// Time until it may be sent again.
         left: Duration,
     },
 }
 
-/// What other routers have to know.
+/// What other routers have to be notified of.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Update {
     /// Runs that ended with their servers.
@@ -121,29 +122,29 @@
     pub refused: Vec<(Fingerprint, Duration, u32)>,
 }
 
-/// A suspect as it is shown to operators.
+/// A suspect as operators see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// The request.
     pub fingerprint: Fingerprint,
     /// What may be done with it.
     pub verdict: Verdict,
-    /// Servers that have ended under it, as far as is known here.
+    /// Servers that have ended while they ran it, as far as this router knows.
     pub servers: u32,
-    /// The last of them that was named.
+    /// The last loss whose server is known.
     pub last: Option<Loss>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 struct Record {
     fingerprint: Fingerprint,
-    /// The latest losses, and whether each was told or remote.
+    /// The latest losses, and whether other routers know of each: it was sent to them or received from one.
     losses: Vec<(Loss, bool)>,
-    /// Servers that have ended under it.
+    /// Servers that have ended while they ran it.
     servers: u32,
     /// End of the time in which it is refused.
     refused_until: Option<Duration>,
-    /// When others are told again that it is refused, and how often they were.
+    /// When the refusal is sent again, and how often it was sent.
     resend_at: Duration,
     resends: u32,
 }
@@ -162,7 +163,7 @@
     }
 }
 
-/// Requests that came to their end lately, in two generations: the older one is dropped as a whole.
+/// Requests that completed lately, in two generations: the older one is dropped as a whole.
 #[derive(Debug, Default)]
 struct Completed {
     /// Sorted.
@@ -193,7 +194,7 @@
 pub struct List {
     /// Sorted by fingerprint.
     records: Vec<Record>,
-    /// Servers that ended lately, the oldest first.
+    /// Servers that have ended lately, the oldest first.
     ended: Vec<(Start, Duration)>,
     completed: Completed,
     /// Requests whose losses others know and that got past them, and whether they were refused.
@@ -201,7 +202,7 @@
 }
 
 impl List {
-    /// What may be done with a request.
+    /// Returns what may be done with a request.
     ///
     /// ```
     /// use std::time::Duration;
@@ -246,7 +247,7 @@
         }
     }
 
-    /// A run ended with its server; `remote` if another router says so.
+    /// Records a run that ended with its server; `remote` if another router reported it.
     pub fn record_loss(&mut self, fingerprint: Fingerprint, loss: Loss, remote: bool) {
         let now = loss.at;
         self.record_end(loss.start.clone(), now);
@@ -265,7 +266,7 @@
         }
     }
 
-    /// A server has ended, whatever ran there.
+    /// Records the end of a server, whatever ran there.
     pub fn record_end(&mut self, start: Start, now: Duration) {
         if self.ended.iter().any(|(known, _)| *known == start) {
             return;
@@ -276,7 +277,7 @@
         self.ended.push((start, now));
     }
 
-    /// A run of a request got so many events; losses at earlier ones were not its fault.
+    /// Records that a run of a request got `events` events. Losses at earlier events were not its fault.
     ///
     /// ```
     /// use std::time::Duration;
@@ -307,13 +308,13 @@
         }
     }
 
-    /// A request came to its end.
+    /// Records that a request completed.
     pub fn completed(&mut self, fingerprint: Fingerprint, now: Duration) {
         self.completed.record(fingerprint, now);
         self.reached(fingerprint, u64::MAX);
     }
 
-    /// Another router or an operator says that a request is not at fault.
+    /// Clears a request that is not at fault, as another router or an operator reports.
     ///
     /// ```
     /// use std::time::Duration;
@@ -321,7 +322,7 @@
     /// let (mut list, at) = (List::default(), Duration::from_secs);
     /// list.refuse(7, REFUSAL_TIME, 3, at(1), 0.0);
     /// list.clear(7, at(2));
-    /// // A word of before that comes late changes nothing.
+    /// // A refusal from before that arrives late changes nothing.
     /// list.refuse(7, REFUSAL_TIME, 3, at(3), 0.0);
     /// assert_eq!(list.verdict(7, at(3)), Verdict::Clear);
     /// ```
@@ -332,7 +333,7 @@
         }
     }
 
-    /// An operator lets a request run again; whether it was known.
+    /// Lets a request run again by order of an operator; returns whether it was known.
     pub fn lift(&mut self, fingerprint: Fingerprint, now: Duration) -> bool {
         let known = self.find(fingerprint).is_ok();
         self.clear(fingerprint, now);
@@ -340,8 +341,8 @@
         known
     }
 
-    /// Another router refuses a request for as long, as so many servers ended under it. As others hear that too, this one
-    /// need not tell it for a while.
+    /// Refuses a request for `left`, as another router does, after `servers` servers ended while they ran it. The
+    /// other routers receive that refusal too, so this one need not send it for a while.
     pub fn refuse(
         &mut self,
         fingerprint: Fingerprint,
@@ -361,8 +362,8 @@
             (now + RESEND_INTERVAL.mul_f64(1.0 + jitter), FAST_RESENDS);
     }
 
-    /// What others have to know now. `jitter` is a random number below one, which keeps routers from telling the same at
-    /// the same time.
+    /// Returns what other routers have to be notified of now. `jitter` is a random number below one, which keeps
+    /// routers from sending the same at the same time.
     pub fn take_update(&mut self, now: Duration, jitter: f64) -> Update {
         let counts = |r: &Record| !r.losses.is_empty() && now < r.last() + LOSS_LIFETIME;
         self.records.retain(|r| r.is_refused(now) || counts(r));
@@ -394,7 +395,7 @@
         update
     }
 
-    /// All suspects of more than one loss and all that is refused.
+    /// Returns all suspects of more than one loss and all requests that are refused.
     pub fn entries(&mut self, now: Duration) -> Vec<Entry> {
         let known = self
             .records
@@ -411,12 +412,12 @@
         known.into_iter().map(entry).collect()
     }
 
-    /// Suspects that are known, and how many of them are refused.
+    /// Returns the number of suspects, and how many of them are refused.
     pub fn counts(&self, now: Duration) -> (usize, usize) {
         (self.records.len(), self.records.iter().filter(|r| r.is_refused(now)).count())
     }
 
-    /// A verdict has run out: one more loss renews it.
+    /// Ends a verdict whose time is over: one more loss renews it.
     fn end_verdict(&mut self, at: usize) {
         let record = &mut self.records[at];
         record.refused_until = None;
@@ -424,7 +425,8 @@
         record.losses.drain(..more);
     }
 
-    /// Weight of a request's losses, first by what else may have ended the servers, then also by whom else.
+    /// Returns the weight of a request's losses, first by what else may have ended the servers, then also by which
+    /// other requests may have.
     fn weigh(&self, at: usize) -> (f64, f64) {
         let record = &self.records[at];
         let grave: Vec<&Record> =
@@ -451,13 +453,13 @@
         self.records.binary_search_by_key(&fingerprint, |r| r.fingerprint)
     }
 
-    /// Place of a request's record, which is made if there is none.
+    /// Returns the index of a request's record, which is added if there is none.
     fn record_index(&mut self, fingerprint: Fingerprint, now: Duration) -> usize {
         if let Ok(at) = self.find(fingerprint) {
             return at;
         }
         if self.records.len() >= MAX_SUSPECTS {
-            // A flood of suspects must not push out what is refused.
+            // A flood of suspects must not evict refused requests.
             let place =
                 |i: &usize| (self.records[*i].is_refused(now), self.records[*i].losses.len());
             let least = (0..self.records.len()).min_by_key(|i| (place(i), self.records[*i].last()));
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -1,17 +1,17 @@
-//! Which part of the work that wants a shared worker may be sent to it.
+//! The ratio of the requests for a shared worker that may be sent to it.
 //!
-//! Load pattern: a data centre loses a layer, and all requests of all routers want the same link to another one at the
-//! same moment. A meter of what this router sent is empty then, so each router sends one transfer, and as many wait
-//! for the link as there are routers: all of them are late, where a tenth would have been on time and the rest told
-//! at once to come back. So each router sends a share of what comes to it, such that all of them together fill the
-//! worker.
+//! Load pattern: a data centre loses a layer, and all requests of all routers need the same link to another one at
+//! the same moment. A meter of what this router sent is empty then, so each router sends one transfer, and as many
+//! wait for the link as there are routers: all of them are late, where a tenth would have been on time and the rest
+//! could have been refused at once. So each router sends a ratio of its requests such that all routers together fill
+//! the worker.
 
 use std::time::Duration;
 
-/// Time in which a request counts for a third of what it did.
+/// Time constant of the decay: after it a request counts for a third of what it did.
 const DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Requests that wanted a worker lately, the newest counting most.
+/// Requests that needed a worker lately, with exponential decay.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Demand {
     level: f64,
@@ -19,14 +19,14 @@
 }
 
 impl Demand {
-    /// Notes a request that wants the worker.
+    /// Records a request that needs the worker.
     pub fn record(&mut self, now: Duration) {
         self.level = self.left(now) + 1.0;
         self.at = now;
     }
 
-    /// Part of the requests that may be sent, if each takes `work` of a worker that gives all routers `capacity` of its
-    /// time, and each of `routers` has as many as this one.
+    /// Returns the ratio of the requests that may be sent, if each takes `work` of a worker that gives all routers
+    /// `capacity` of its time, and each of `routers` routers has as many as this one.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,10 +1,10 @@
-//! How long an arrival will wait, and whether it is refused.
+//! The estimated wait of an arrival, and whether the arrival is refused.
 //!
-//! Load patterns: saturation and a burst. The estimate is the work ahead, in slot time, divided by the slots
-//! that this router has in use; a workspace inside its share waits only for its own. Short
-//! requests that come later go first, so under steady overload a request waits longer than the work ahead
-//! takes: then the order's own delay is the better measure (by how much it
-//! was behind when the workspace's last request started), with a margin.
+//! Load patterns: saturation and a burst. The estimate is the work ahead, in slot time, divided by the slots that
+//! this router has in use; a workspace inside its share waits only for its own work. Short requests that come later
+//! go first, so under steady overload a request waits longer than the work ahead takes. Then the delay of the order
+//! itself is the better measure (how far behind its place in the order the workspace's last request started), with a
+//! margin.
 
 use std::time::Duration;
 
@@ -13,19 +13,20 @@
 use crate::room::Room;
 
 /// Factor on the part of an estimated wait that is due to requests that come later and go first. At 1 most of the
-/// middling requests that were let in at the edge were given up later; at 1.5 a burst refuses what it could do.
+/// requests of medium length that were only just admitted were refused later; at 1.5 requests of a burst are refused
+/// that could have been served.
 pub const OVERTAKING_FACTOR: f64 = 1.25;
 
-/// Bound of an estimated wait, relative to the time that all that waits now takes. Without one, the middling
-/// requests that come at the end of a burst are refused although the queue soon runs empty.
+/// Bound of an estimated wait, relative to the time that all waiting requests take. Without one, requests of medium
+/// length that come at the end of a burst are refused although the queue soon runs empty.
 pub const MAX_WAIT_RATIO: f64 = 1.25;
 
-/// No request runs longer; an absurd time must not make the sums overflow.
+/// Requests with a longer run are refused; an absurd time must not make the sums overflow.
 const MAX_RUN: Duration = Duration::from_secs(24 * 60 * 60);
 
 impl<T> Queue<T> {
-    /// Seconds until a request of workspace `i` starts that has `ahead` seconds of its own
-    /// workspace's slot time before it; `extra` is the weight that it adds. `None` without capacity.
+    /// Returns the seconds until a request of workspace `i` starts that has `ahead` seconds of its own workspace's
+    /// slot time before it; `extra` is the weight that it adds. `None` without capacity.
     pub(crate) fn wait(&self, i: usize, ahead: f64, extra: f64, room: Room) -> Option<f64> {
         let width = room.width(self.running);
         if width <= 0.0 {
@@ -40,8 +41,8 @@
         run * self.used.min(1.0)
     }
 
-    /// True when it would miss its deadline even if it started now. Midway between the run
-    /// asked for and the usual one: some answers are short, but the caller may get all it asked for.
+    /// Returns true when a request would miss its deadline even if it started now and ran for all the time it asks
+    /// for. Some answers are shorter, but the caller may get all it asked for.
     pub(crate) fn misses_deadline(&self, request: &Request, now: Duration) -> bool {
         request.run > MAX_RUN
             || now.checked_add(request.run).is_none_or(|end| end > request.deadline)
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Seconds until an arrival starts; `None` without capacity.
+    /// Returns the seconds until an arrival starts; `None` without capacity.
     pub(crate) fn arrival_wait(
         &self,
         i: usize,
--- a/crates/policy/src/fill.rs
+++ b/crates/policy/src/fill.rs
@@ -1,24 +1,25 @@
-//! How full a server is by now that told of it a while ago.
+//! An estimate of the load of a server from an older report.
 //!
-//! Load pattern: a server runs some hundred requests and takes a hundred more in each second. What it told is up to a second
-//! old, so that all routers take it for half empty, send it all they have until it declines, and then pass over it
-//! together until it is half empty again. Most of what is declined is sent again, out of the common retry budget.
+//! Load pattern: a server runs some hundred requests and takes a hundred more in each second. Its report is up to a
+//! second old, so that all routers assume that it is half empty, send it all they have until it declines, and then
+//! pass over it together until it is half empty again. Most of what is declined is sent again, out of the common
+//! retry budget.
 //!
-//! A router knows what it has sent since, and how much all of them send for each request of its own; what ran when
-//! the server told of it has ended in part.
+//! A router knows what it has sent since the report, and how much all routers send for each request of its own; part
+//! of what ran at the time of the report has ended.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time for which is kept what was sent.
+/// Time for which sent work is kept.
 const RETENTION: Duration = Duration::from_secs(4);
 
-/// Work that one router sent to one server lately.
+/// Work that one router has sent to one server lately.
 #[derive(Debug, Clone, Default)]
 pub struct Sent(VecDeque<(Duration, f64)>);
 
 impl Sent {
-    /// Notes work that is sent.
+    /// Records work that is sent.
     pub fn record(&mut self, now: Duration, work: f64) {
         while self.0.front().is_some_and(|(at, _)| *at + RETENTION < now) {
             self.0.pop_front();
@@ -26,25 +27,26 @@
         self.0.push_back((now, work));
     }
 
-    /// Work that was sent after `time`.
+    /// Returns the work that was sent after `time`.
     pub fn since(&self, time: Duration) -> f64 {
         self.0.iter().rev().take_while(|(at, _)| *at > time).map(|(_, work)| work).sum()
     }
 }
 
-/// Work that a server had some time ago.
+/// The work that a server reported some time ago.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Report {
-    /// The work, of all routers.
+    /// Work of all routers.
     pub work: f64,
-    /// When it had that.
+    /// When the server had that work.
     pub at: Duration,
-    /// How long a request lasts.
+    /// Mean duration of a request.
     pub lasting: Duration,
 }
 
 impl Report {
-    /// The work it has at `now`, if all routers together send `ratio` times what this one has sent.
+    /// Returns the work that the server has at `now`, if all routers together send `ratio` times what this one has
+    /// sent.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -1,27 +1,25 @@
 //! Ejection of slow and failing replicas by comparison with their peers.
 //!
-//! Load pattern: one backend server runs ten times slower than before, or fails its requests.
-//! A draft holds a slot in every range of its chain, so one slow stage holds back fast ones
-//! in the other ranges; and since a failing server is soon idle again, least-loaded
-//! choices send it more than its share.
+//! Load pattern: one backend server runs ten times slower than before, or fails its requests. A draft holds a slot in
+//! every range of its chain, so one slow stage holds back fast ones in the other ranges; and since a failing server
+//! is soon idle again, least-loaded choices send it more than its share.
 //!
-//! A fixed limit on the step time fails on mixed accelerators, so a replica is
-//! compared with the median of its range. [`SLOW_FACTOR`] is above the spread of sound
-//! accelerators (a factor of about three) and below the faults that matter. It must be slow in
-//! [`FAULTS_TO_EJECT`] reports in a row, since one long batch is no fault. At most one in
-//! [`SLOW_CAP`] is ejected for slowness and one in [`FAIL_CAP`] for failures: when most look bad, the
-//! cause is elsewhere, and ejecting them would put their load on the rest.
-//! Each ejection of a replica lasts twice as long as the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is
-//! probed with one request, and each success doubles what it may hold.
+//! A fixed limit on the step time fails on mixed accelerators, so a replica is compared with the median of its range.
+//! [`SLOW_FACTOR`] is above the spread of healthy accelerators (a factor of about three) and below the faults that
+//! matter. A replica must be slow in [`FAULTS_TO_EJECT`] reports in a row, since one long batch is no fault. At most
+//! one in [`SLOW_CAP`] is ejected for slowness and one in [`FAIL_CAP`] for failures: when most look bad, the cause is
+//! elsewhere, and ejecting them would put their load on the rest. Each ejection of a replica lasts twice as long as
+//! the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is probed with one request, and each success doubles
+//! the number of requests allowed.
 
 use std::time::Duration;
 
 use crate::tuning::Tuning;
 
-/// Step time relative to the range's median at which a replica is too slow.
+/// Step time relative to the range's median above which a replica is too slow.
 pub const SLOW_FACTOR: f64 = 4.0;
 
-/// Consecutive slow reports, or failures among the last results, that eject.
+/// Consecutive slow reports, or failures among the last results, that eject a replica.
 pub const FAULTS_TO_EJECT: u8 = 3;
 
 /// At most one in this many replicas of a range is ejected for slowness.
@@ -45,26 +43,26 @@
     Failing,
 }
 
-/// Standing of a replica.
+/// State of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
     /// Takes work.
     Live,
-    /// Takes none until then.
+    /// Takes no work for a time.
     Ejected {
         /// End of the ejection.
         until: Duration,
-        /// Why.
+        /// Why it is ejected.
         cause: Cause,
     },
-    /// Takes at most this many at once.
+    /// Takes a limited number of requests at once.
     Probing {
-        /// How many.
+        /// The limit.
         allowed: u32,
     },
 }
 
-/// What is remembered of one replica.
+/// Health of one replica.
 ///
 /// ```
 /// use std::time::Duration;
@@ -89,19 +87,19 @@
     }
 }
 
-/// Ejected replicas of a range, for the caps.
+/// The figures of a range that a replica is compared with.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Peers {
-    /// Replicas of the range.
+    /// Number of replicas in the range.
     pub replicas: usize,
-    /// Those ejected now.
+    /// Number of replicas that are ejected now.
     pub ejected: usize,
     /// Median step time in microseconds; 0 when unknown.
     pub median_us: f64,
 }
 
 impl Health {
-    /// Its standing at `now`; an ejection that has run out becomes a probe.
+    /// Returns its state at `now`; an ejection whose time is over becomes a probe.
     ///
     /// ```
     /// use std::time::Duration;
@@ -115,7 +113,7 @@
         }
     }
 
-    /// Slots of `slots` that may be used at `now`.
+    /// Returns how many of `slots` slots may be used at `now`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -129,8 +127,8 @@
         }
     }
 
-    /// A fresh step time of the replica, in microseconds. `busy` is false when nothing ran, and
-    /// then the figure is an old one and says nothing. True when this ejects it.
+    /// Records a fresh step time of the replica, in microseconds. `busy` is false when nothing ran, and then the
+    /// figure is an old one and is ignored. Returns true when this ejects it.
     pub fn step(
         &mut self,
         step_us: f64,
@@ -153,7 +151,7 @@
         }
     }
 
-    /// A request ran well on a replica of `slots`.
+    /// Records a request that succeeded on a replica of `slots`.
     pub fn succeeded(&mut self, slots: u32, now: Duration) {
         self.failed = self.failed.saturating_sub(1);
         self.state = match self.state(now) {
@@ -166,8 +164,8 @@
         };
     }
 
-    /// A request failed by the replica's fault: no answer, lost connection, crash; not a refusal
-    /// for want of slots. True when this ejects it.
+    /// Records a request that failed by the replica's fault: no answer, lost connection, crash; not a refusal for
+    /// want of slots. Returns true when this ejects it.
     pub fn failed(&mut self, peers: Peers, tuning: &Tuning, now: Duration) -> bool {
         self.failed = self.failed.saturating_add(1);
         self.failed >= tuning.faults_to_eject && self.eject(Cause::Failing, peers, tuning, now)
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,18 +1,16 @@
 //! Decisions under load, without a network or a clock.
 //!
-//! What is let in, what waits, where work goes, what is tried again and how fast
-//! work shifts. Nothing here opens a socket, reads a clock, starts a thread or
-//! writes a log line: a caller passes the event, the time as a [`Duration`] since
-//! its own start, and seeded random numbers, and gets a typed decision back.
+//! The policies for admission, queueing, routing, retries and the rate at which work shifts. Nothing here opens a
+//! socket, reads a clock, starts a thread or writes a log line: a caller passes the event, the time as a [`Duration`]
+//! since its own start, and seeded random numbers, and gets a typed decision back.
 //!
-//! A router keeps, for each model version and each plain service, one
-//! [`queue::Queue`] and one [`route::Table`], and for itself one [`retry::Budget`]
-//! and one [`quarantine::List`]. An agent keeps one [`limit::Slots`] and one
+//! A router keeps, for each model version and each plain service, one [`queue::Queue`] and one [`route::Table`], and
+//! for itself one [`retry::Budget`] and one [`quarantine::List`]. An agent keeps one [`limit::Slots`] and one
 //! [`quarantine::List`].
 //!
-//! State is bounded, in bytes on a 64-bit machine without the names' text:
-//! [`share::BYTES`] a workspace, [`queue::WAITING_BYTES`] a waiting request (its item
-//! not counted), [`replica::BYTES`] a backend server, [`quarantine::BYTES`] a fingerprint.
+//! State is bounded, in bytes on a 64-bit machine without the text of names: [`share::BYTES`] for a workspace,
+//! [`queue::WAITING_BYTES`] for a waiting request (its item not counted), [`replica::BYTES`] for a backend server,
+//! [`quarantine::BYTES`] for a fingerprint.
 //!
 //! [`Duration`]: std::time::Duration
 
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -1,44 +1,43 @@
-//! The agent's own side: what its backend server is given at once.
+//! Admission at an agent: how much its backend server is given at once.
 //!
-//! Load pattern: saturation, and a lost stage during it. Routers see the agent's load late and
-//! each counts on the same free slot, so the agent alone decides: it has a fixed
-//! number of slots and refuses at once when they are taken. Without a reserve, the
-//! drafts that lost a stage wait behind new work for a free slot in its replicas, while
+//! Load pattern: saturation, and a lost stage during it. Routers see the agent's load late and each counts on the
+//! same free slot, so the agent alone decides: it has a fixed number of slots and refuses at once when they are
+//! taken. Without a reserve, the drafts that lost a stage wait behind new work for a free slot in its replicas, while
 //! they hold slots in every other range: the loss of one VM stalls drafts across the fleet.
 
 use std::time::Duration;
 
-/// What the fleet favours when the two can't both be had. It sets [`Tuning`].
+/// What the fleet favours where throughput and short recovery can't both be had. It sets [`Tuning`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Objective {
-    /// Throughput against the bound: nearly all slots to new work.
+    /// Throughput: nearly all slots to new work.
     Throughput,
     /// Short recovery: free slots on every VM for drafts that lost a stage.
     Recovery,
 }
 
-/// What an objective stands for.
+/// The parameters of an objective.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tuning {
-    /// Part of the admitted sessions kept for replacements of lost stages.
+    /// Ratio of the admitted sessions kept for replacements of lost stages.
     pub reserve: f64,
     /// Sessions admitted for each slot of the engine; an engine refuses more than 1. Shallower
     /// batches have shorter steps, so a lost stage's positions are replayed sooner.
     pub depth: f64,
-    /// A stage is given up after a silence of this many times its usual step, see [`Tuning::silence`].
+    /// A stage is replaced after a silence of this many times its usual step, see [`Tuning::silence`].
     pub silence: u32,
 }
 
-/// Shortest silence after which a stage is given up: pauses below it are common on a busy VM.
+/// Shortest silence after which a stage is replaced: shorter pauses are common on a busy VM.
 pub const MIN_SILENCE: Duration = Duration::from_millis(250);
 
 impl Objective {
-    /// What this objective stands for.
+    /// Returns the parameters of this objective.
     ///
-    /// Throughput keeps no whole slot of an engine of less than 50 and waits out long steps. Recovery keeps
-    /// an eighth, which carries the sessions of one lost replica in nine, and gives up a silent stage soon,
-    /// at the price of replacing some that were only slow. The depth is 1 at both ends until engines
-    /// whose steps grow with the batch have been measured.
+    /// Throughput reserves no whole slot of an engine of less than 50 and tolerates long steps. Recovery reserves an
+    /// eighth, which is enough for the sessions of one lost replica in nine, and replaces a silent stage soon, at the
+    /// price of replacing some that were only slow. The depth is 1 for both: a smaller one only helps engines whose
+    /// steps grow with the batch.
     ///
     /// ```
     /// use policy::limit::Objective;
@@ -53,7 +52,7 @@
 }
 
 impl Tuning {
-    /// Silence after which a stage with this usual step time is given up, at most `longest`.
+    /// Returns the silence after which a stage with this usual step time is replaced, at most `longest`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -66,7 +65,7 @@
     }
 }
 
-/// What asks for a slot.
+/// What a slot is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// New work.
@@ -82,8 +81,8 @@
 pub enum Admit {
     /// It has a slot until [`Slots::release`].
     Granted,
-    /// No slot; it was not run. Only `waiting` for a suspect to end or to have the engine alone
-    /// is worth another try here.
+    /// No slot; it was not run. Another try here is only worthwhile when it waits for a suspect to end or to have the
+    /// engine alone.
     Full {
         /// True when a suspect is the cause.
         alone: bool,
@@ -101,7 +100,7 @@
 }
 
 impl Slots {
-    /// Slots of a backend server that takes `slots` at once.
+    /// Creates the slots of a backend server that takes `slots` at once.
     ///
     /// ```
     /// use policy::limit::{Admit, Kind, Objective, Slots};
@@ -113,7 +112,7 @@
         Slots { slots, tuning: objective.tuning(), busy: 0, alone: false, leaving: false }
     }
 
-    /// Takes over another objective or number of slots; what runs goes on.
+    /// Applies another objective or number of slots; running sessions are not affected.
     ///
     /// ```
     /// use policy::limit::{Objective, Slots};
@@ -125,24 +124,24 @@
         (self.slots, self.tuning) = (slots, objective.tuning());
     }
 
-    /// The VM is leaving: new work is refused, replacements for what still runs here are not needed.
+    /// Marks the VM as leaving: new work is refused, and replacements for what still runs here are not needed.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Sessions admitted at once.
+    /// Returns the number of sessions admitted at once.
     pub fn total(&self) -> u32 {
         ((f64::from(self.slots) * self.tuning.depth) as u32).max(1)
     }
 
-    /// Sessions of new work admitted at once: what a report should state as its slots.
+    /// Returns the number of sessions of new work admitted at once, which a report should state as its slots.
     pub fn open(&self) -> u32 {
         let total = self.total();
         let reserve = (f64::from(total) * self.tuning.reserve) as u32;
         total.saturating_sub(reserve).max(1)
     }
 
-    /// Slots taken.
+    /// Returns the number of slots taken.
     pub fn busy(&self) -> u32 {
         self.busy
     }
@@ -165,7 +164,7 @@
         }
     }
 
-    /// A session has ended.
+    /// Releases the slot of a session that has ended.
     pub fn release(&mut self) {
         self.busy = self.busy.saturating_sub(1);
         self.alone = self.alone && self.busy > 0;
--- a/crates/policy/src/link.rs
+++ b/crates/policy/src/link.rs
@@ -1,8 +1,8 @@
 //! Times of the links between data centres.
 //!
-//! Load pattern: data centres at unequal distances. Each generated token crosses every link of
-//! its chain, so a detour of a millisecond costs a draft of 500 tokens half a second and holds its
-//! slots for as long. One time for each pair is kept, as settings or measurements give it.
+//! Load pattern: data centres at unequal distances. Each generated token crosses every link of its chain, so a detour
+//! of a millisecond costs a draft of 500 tokens half a second and holds its slots for as long. One time is kept for
+//! each pair, as settings or measurements give it.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 impl Links {
-    /// Links that all take `default` between two data centres, and nothing within one.
+    /// Creates links that all take `default` between two data centres, and no time within one.
     ///
     /// ```
     /// use std::time::Duration;
@@ -31,7 +31,7 @@
         Links { names: Vec::new(), default, times: Vec::new() }
     }
 
-    /// Index of a data centre; a new one is added.
+    /// Returns the index of a data centre; a new one is added.
     pub fn index(&mut self, name: &str) -> DataCentre {
         match self.names.iter().position(|n| n == name) {
             Some(i) => i,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Time of a link.
+    /// Returns the time of a link.
     pub fn time(&self, a: DataCentre, b: DataCentre) -> Duration {
         let (a, b) = (a.min(b), a.max(b));
         match self.times.binary_search_by_key(&(a, b), |t| (t.0, t.1)) {
--- a/crates/policy/src/loan.rs
+++ b/crates/policy/src/loan.rs
@@ -1,67 +1,69 @@
-//! Repeats that a router borrows from others.
+//! Retries that a router borrows from other routers.
 //!
-//! Load pattern: a server dies, and most of the streams that pass through it are those of a few routers. Each of these
-//! may send some ten repeats, its part of the common budget ([`crate::window`]), and gives the rest of its streams up
-//! while the parts of all others lie idle.
+//! Load pattern: a server dies, and most of the streams that pass through it belong to a few routers. Each of these
+//! may send some ten retries, its share of the common budget ([`crate::window`]), and gives up the rest of its
+//! streams while the shares of all other routers are unused.
 //!
-//! A router that is short requests others, and each that has something left lends it and counts it as used. So nothing has to
-//! be agreed on: a question or an answer that is late or lost costs at most a loan that nobody uses.
+//! A router that runs short asks others. Each router that has retries left lends some and counts them as used. No
+//! agreement between routers is needed: a request or an answer that is late or lost costs at most a loan that nobody
+//! uses.
 //!
-//! Among many, a router requests groups of others, one of each group, which requests the rest: twenty questions for four hundred
-//! routers. Routers that had nothing to lend are not asked again until some of what they used is past.
+//! In a large group a router sends its request to one router of each of several groups of others, and that router
+//! asks the rest of its group: twenty requests for four hundred routers. Routers that had nothing to lend are not
+//! asked again until some of their own use has left the window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use rand::seq::SliceRandom;
 
-/// Time for which a loan may be used, from when it was asked for.
+/// Time for which a loan may be used, counted from when it was requested.
 pub const LOAN_VALIDITY: Duration = Duration::from_millis(300);
 
 /// Time for which a router that did not answer is not asked.
 pub const LENDER_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Routers up to which each is asked by itself.
+/// Number of lenders up to which each is asked directly.
 const MAX_UNGROUPED_LENDERS: usize = 32;
 
-/// Part of what is left to a router on average, of its part; a guess of how many to ask.
+/// Ratio of its share that a router is expected to have left; an estimate that sets how many routers are asked.
 const EXPECTED_LEFT_RATIO: f64 = 0.5;
 
-/// Factor on the number of groups that are asked from one wave to the next.
+/// Factor by which the number of groups asked grows from one wave to the next.
 const WAVE_GROWTH: usize = 3;
 
-/// What a router lends.
+/// The answer to a request for retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Loan {
-    /// Repeats.
+    /// Retries lent.
     pub lent: u32,
-    /// Time after which it may lend more, if that was less than was wanted.
+    /// Time after which the lender may lend more, if it lent less than was wanted.
     pub retry_after: Duration,
 }
 
-/// A question to the first of some routers, which requests the rest of them where it has too little itself.
+/// A request to the first of some routers, which asks the others for what it can't lend itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request<M> {
-    /// The routers.
+    /// The routers to borrow from; the first receives the request.
     pub lenders: Vec<M>,
-    /// Repeats wanted.
+    /// Retries wanted.
     pub want: u32,
 }
 
-/// What one router borrows of one service's budget.
+/// What one router has borrowed of one service's budget.
 #[derive(Debug, Clone)]
 pub struct Borrower<M> {
-    /// Until when each repeat that was borrowed may be used.
+    /// Expiry of each borrowed retry.
     valid_until: VecDeque<Duration>,
     /// Routers that are not asked, sorted.
     backoffs: Vec<Backoff<M>>,
 }
 
-/// A router that had too little to lend, or did not answer.
+/// A router that had too little to lend or did not answer.
 #[derive(Debug, Clone, Copy)]
 struct Backoff<M> {
     member: M,
-    /// Until when it is not asked.
+    /// End of the time for which it is not asked.
     until: Duration,
     silent: bool,
 }
@@ -73,7 +75,7 @@
 }
 
 impl<M: Copy + Ord> Borrower<M> {
-    /// Repeats that were borrowed and may be used now.
+    /// Returns the number of borrowed retries that may be used now.
     pub fn available(&mut self, now: Duration) -> usize {
         while self.valid_until.front().is_some_and(|until| *until <= now) {
             self.valid_until.pop_front();
@@ -81,15 +83,15 @@
         self.valid_until.len()
     }
 
-    /// Uses one, if there is one.
+    /// Uses one borrowed retry; returns false if there is none.
     pub fn take(&mut self, now: Duration) -> bool {
         self.available(now);
         self.valid_until.pop_front().is_some()
     }
 
-    /// Takes over what was lent in answer to a question that was asked at `asked`.
-    pub fn receive(&mut self, request: &Request<M>, loan: Loan, asked: Duration, now: Duration) {
-        self.valid_until.extend((0..loan.lent.min(request.want)).map(|_| asked + LOAN_VALIDITY));
+    /// Adds what was lent in answer to a request that was sent at `sent_at`.
+    pub fn receive(&mut self, request: &Request<M>, loan: Loan, sent_at: Duration, now: Duration) {
+        self.valid_until.extend((0..loan.lent.min(request.want)).map(|_| sent_at + LOAN_VALIDITY));
         if loan.lent < request.want {
             request
                 .lenders
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Does not ask a router before `until` that did not answer in time.
+    /// Excludes a router that did not answer in time until `until`.
     pub fn back_off(&mut self, lender: M, until: Duration) {
         self.set_backoff(lender, until, true);
     }
@@ -111,12 +113,12 @@
         }
     }
 
-    /// Asks a router again that had not answered in time.
+    /// Allows requests again to a router that had not answered in time.
     pub fn clear_backoff(&mut self, lender: M) {
         self.backoffs.retain(|backoff| backoff.member != lender || !backoff.silent);
     }
 
-    /// Whether some of the routers, which are sorted, may have something to lend.
+    /// Returns whether any of the routers `members`, which are sorted, may have something to lend.
     pub fn may_ask(&mut self, members: &[M], now: Duration) -> bool {
         self.backoffs.retain(|backoff| {
             now < backoff.until && members.binary_search(&backoff.member).is_ok()
@@ -124,7 +126,8 @@
         self.backoffs.len() < members.len()
     }
 
-    /// Plans whom of the routers, which are sorted, to ask for `want` repeats; `share` is the part of this router.
+    /// Plans which of the routers `members`, which are sorted, to ask for `want` retries; `share` is the share of
+    /// this router.
     ///
     /// ```
     /// use std::time::Duration;
@@ -168,35 +171,36 @@
     }
 }
 
-/// Questions to routers until enough is lent.
+/// Requests to routers until enough is lent.
 #[derive(Debug, Clone)]
 pub struct Round<M> {
-    /// Routers that are still to be asked.
+    /// Groups that have not been asked yet.
     groups: VecDeque<Vec<M>>,
-    /// Repeats that are still wanted.
+    /// Retries that are still wanted.
     want: u32,
-    /// Repeats that a group is guessed to have.
+    /// Retries that a group is expected to have left.
     left: f64,
-    /// Groups that are asked next.
+    /// Number of groups to ask in the next wave.
     width: usize,
-    /// Questions of the last wave without an answer. So many more are asked at once, as the next may be dead as well.
+    /// Requests of the last wave without an answer. The next wave has that many more, as the next routers may be dead
+    /// as well.
     timeouts: usize,
 }
 
 impl<M: Copy + Ord> Round<M> {
-    /// Asks each of `lenders` by itself, all at once, as the first of a group does.
+    /// Asks each of `lenders` directly and all at once, as the first router of a group does.
     pub fn each(lenders: &[M], want: u32) -> Round<M> {
         let groups = lenders.iter().map(|lender| vec![*lender]).collect();
         Round { groups, want, left: 1.0, width: lenders.len(), timeouts: 0 }
     }
 
-    /// Asks for so many, if that is more than is still wanted: more came to need one meanwhile.
+    /// Raises the number of retries wanted to `want`, as more streams have come to need one.
     pub fn raise(&mut self, want: u32) {
         self.want = self.want.max(want);
         self.width = self.width.max((f64::from(want) / self.left).ceil() as usize);
     }
 
-    /// Questions to ask at once now; none if enough was lent, or if nobody is left to ask.
+    /// Returns the requests to send at once now; none if enough was lent or no router is left to ask.
     pub fn wave(&mut self) -> Vec<Request<M>> {
         let timeouts = std::mem::take(&mut self.timeouts);
         let most = if self.want > 0 { self.want as usize + timeouts } else { 0 };
@@ -212,7 +216,7 @@
         requests.collect()
     }
 
-    /// Takes over an answer. Who gave all that was asked for may have more.
+    /// Records an answer. A router that lent all that was asked for may have more and is asked again.
     pub fn record(&mut self, request: Request<M>, loan: Loan) {
         self.want = self.want.saturating_sub(loan.lent);
         if loan.lent >= request.want {
@@ -220,7 +224,7 @@
         }
     }
 
-    /// Notes that the first router of a question did not answer. Another one is asked for the rest.
+    /// Records that the first router of a request did not answer. The next router of its group is asked for the rest.
     pub fn timed_out(&mut self, request: Request<M>) {
         self.timeouts += 1;
         let rest = request.lenders[1..].to_vec();
@@ -229,7 +233,7 @@
         }
     }
 
-    /// Repeats that are still wanted.
+    /// Returns the number of retries that are still wanted.
     pub fn want(&self) -> u32 {
         self.want
     }
--- a/crates/policy/src/meter.rs
+++ b/crates/policy/src/meter.rs
@@ -1,16 +1,16 @@
-//! How much work waits at something that does one thing after another.
+//! The work that waits at a worker which does one thing after another.
 //!
-//! Load pattern: two data centres lose a server each, or a server turns twelve times slower, and all
-//! requests take the one way round that is left. Each router sees a free way; together they send more
-//! than a link between data centres carries, or more prompts than a slow server reads, and from then
-//! on nothing ends in time, the requests included that had another way.
+//! Load pattern: two data centres lose a server each, or a server turns twelve times slower, and all requests take
+//! the one path that is left. Each router sees a free path; together they send more than a link between data centres
+//! carries, or more prompts than a slow server prefills, and from then on nothing ends in time, including the
+//! requests that had another path.
 //!
-//! A meter holds what this router has sent less what has been worked off since, as a leaky bucket. It
-//! needs no answer from the other end, so it can't be late.
+//! A meter holds what this router has sent less what has been worked off since, as a leaky bucket. It needs no answer
+//! from the other end, so it can't be late.
 
 use std::time::Duration;
 
-/// Work that was sent and is not yet done, in the time it takes.
+/// Work that was sent and is not yet done, as the time it takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Meter {
     level: Duration,
@@ -34,17 +34,17 @@
         self.at = now;
     }
 
-    /// Whether this router may send more: what it sent and is not yet done stays below its part of
-    /// what may wait there in all.
+    /// Returns whether this router may send more: what it sent and is not yet done stays below its part of what may
+    /// wait there in all.
     ///
-    /// A router gets one part in `others` of the worker's time, which is what all routers run for one request of its own, but a
-    /// larger part of what may wait there: few of them have a burst at the same moment, and with 26 equal routers
-    /// such a part would be less than a single prompt.
+    /// A router gets one part in `others` of the worker's time, where `others` is what all routers run for one
+    /// request of its own, but a larger part of what may wait there: few routers have a burst at the same moment, and
+    /// with 26 equal routers such a part would be less than a single prompt.
     pub fn takes(&self, now: Duration, share: f64, others: f64, full: Duration) -> bool {
         self.left(now, share / others) <= full.mul_f64(share / others.sqrt())
     }
 
-    /// Time until what was sent is done.
+    /// Returns the time until what was sent is done.
     pub fn waiting(&self, now: Duration, share: f64) -> Duration {
         self.left(now, share).div_f64(share)
     }
--- a/crates/policy/src/missing.rs
+++ b/crates/policy/src/missing.rs
@@ -1,23 +1,25 @@
-//! When those come back that find no server which holds some part of the model.
+//! When callers are to come back that find no server with some part of the model.
 //!
-//! Load pattern: servers are lost, and what they held is mostly loaded elsewhere within two seconds. Where it is not, nobody
-//! may be loading it, as the store is away, memory is short or no router may order it. Callers who are then told two seconds
-//! again and again spend their tries on refusals.
+//! Load pattern: servers are lost, and what they held is mostly loaded elsewhere within two seconds. Where it is not,
+//! no server may be loading it, as the store is unavailable, memory is short or no router may order it. Callers who
+//! are then asked again and again to come back in two seconds spend their tries on refusals.
 //!
-//! What has been missing for long will be for long: callers are told as long again as it has been missing already.
+//! A part that has been missing for long is likely to stay missing for long: callers are asked to come back after as
+//! long again as it has been missing already.
 
 use std::time::Duration;
 
-/// Time to come back right after a loss: it is noticed in half a second, and loaded in one to one and a half.
+/// Time to come back right after a loss: it is noticed in half a second, and the part is loaded in one to one and a
+/// half.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(1800);
 
-/// Longest time to come back. Callers have some twenty seconds and come back within a third.
+/// Longest time to come back. Callers have some twenty seconds and come back within a third of that.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_millis(4500);
 
-/// Time after the last refusal from which on the next one is of another loss.
+/// Time after a refusal from which on the next one belongs to another loss.
 const MAX_REFUSAL_GAP: Duration = Duration::from_secs(3);
 
-/// For how long a part of a model has been missing, as the requests of one router found.
+/// How long a part of a model has been missing, as the requests of one router found.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Missing {
     /// The first and the last refusal.
@@ -25,12 +27,12 @@
 }
 
 impl Missing {
-    /// Notes that a request found all parts.
+    /// Records that a request found all parts.
     pub fn found(&mut self) {
         self.refused = None;
     }
 
-    /// Notes that a request was refused; the time after which it is to come back.
+    /// Records a refused request; returns the time after which it is to come back.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/policy/src/pick.rs
+++ b/crates/policy/src/pick.rs
@@ -1,12 +1,12 @@
-//! Which server of a plain service gets a request.
+//! The choice of a server of a plain service.
 //!
-//! Load pattern: few servers with few slots each, of which one turns slow, and several routers that
-//! do not talk. The server with the shortest expected time of two drawn at random is taken: always
-//! taking the best of all makes all routers run to the same one.
+//! Load pattern: few servers with few slots each, of which one turns slow, and several routers that don't exchange
+//! their load. Of two servers drawn at random the one with the shorter expected time is taken: if the best of all
+//! were always taken, all routers would send to the same one.
 
 use rand::{Rng, RngExt};
 
-/// Weight of the newest time in the mean. At a tenth, some ten requests move it.
+/// Weight of the newest time in the mean. At a tenth, some ten requests move the mean.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Mean time of a server's answers, in milliseconds.
@@ -16,7 +16,7 @@
 }
 
 impl Default for Pace {
-    /// A server of which nothing is known counts as fast, so that it is tried.
+    /// A server without measured times counts as fast, so that it is tried.
     fn default() -> Pace {
         Pace { mean: 10.0 }
     }
@@ -28,13 +28,13 @@
         self.mean += SAMPLE_WEIGHT * (ms - self.mean);
     }
 
-    /// Mean time in milliseconds.
+    /// Returns the mean time in milliseconds.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 }
 
-/// What is known of a server that might be taken.
+/// A server that may be taken.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Choice {
     /// Requests of this router that run there.
@@ -47,18 +47,18 @@
     pub near: bool,
 }
 
-/// Cost of another data centre, as a factor on the expected time. Small: what is sent is short.
+/// Factor on the expected time of a server in another data centre. Small, because requests are short.
 const REMOTE_FACTOR: f64 = 1.1;
 
 impl Choice {
-    /// Expected time of one more request, in milliseconds.
+    /// Returns the expected time of one more request, in milliseconds.
     fn expected(&self) -> f64 {
         let load = 1.0 + f64::from(self.running) / f64::from(self.slots.max(1));
         self.pace.mean() * load * if self.near { 1.0 } else { REMOTE_FACTOR }
     }
 }
 
-/// Position of the one to take; none if there is none.
+/// Returns the index of the server to take; none if there is none.
 ///
 /// ```
 /// use policy::pick::{Choice, Pace, pick};
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -1,21 +1,20 @@
 //! Requests that crash the engine which runs them.
 //!
-//! Load pattern: one request crashes each backend server that runs it, and its caller sends it
-//! again. Retried as usual it takes down one server after another, with all that ran beside it.
+//! Load pattern: one request crashes each backend server that runs it, and its caller sends it again. Retried as
+//! usual it takes down one server after another, with all that ran beside it.
 //!
-//! An engine batches, so a crash names several fingerprints and only one is at fault.
-//! All become suspects and run only alone from then on; a suspect that completes is
-//! cleared, one that runs at a second crash is refused everywhere for a set time. Two crashes
-//! are the fewest that tell the culprit from those beside it. Agents list both kinds in their reports,
-//! and a suspect learnt from a peer counts the crash it had there.
-//! At most [`MAX_FINGERPRINTS`] fingerprints are kept; the oldest suspect goes first.
+//! An engine batches, so a crash names several fingerprints and only one of them is at fault. All become suspects and
+//! run only alone from then on. A suspect that completes is cleared; one that runs at a second crash is refused
+//! everywhere for a set time. Two crashes are the fewest that tell the request at fault from those beside it. Agents
+//! list both kinds in their reports, and a suspect learnt from a peer counts the crash it had there. At most
+//! [`MAX_FINGERPRINTS`] fingerprints are kept; the oldest suspect is evicted first.
 
 use std::time::Duration;
 
-/// Fingerprints kept at most.
+/// Largest number of fingerprints kept.
 pub const MAX_FINGERPRINTS: usize = 1024;
 
-/// Bytes for each fingerprint.
+/// State of a fingerprint in bytes.
 pub const BYTES: usize = size_of::<Record>();
 
 /// Hash of a request's content.
@@ -30,7 +29,7 @@
     Alone,
     /// Refuse it for this long.
     Refused {
-        /// Time until it may come back.
+        /// Time until it may run again.
         left: Duration,
     },
 }
@@ -38,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Record {
     fingerprint: Fingerprint,
-    /// End of the quarantine; for a suspect, when it is forgotten.
+    /// End of the quarantine; for a suspect, when it expires.
     until: Duration,
     refused: bool,
 }
@@ -51,7 +50,7 @@
 }
 
 impl List {
-    /// An empty list that refuses a fingerprint for `hold`.
+    /// Creates an empty list that refuses a fingerprint for `hold`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -68,12 +67,12 @@
         List { hold, records: Vec::new() }
     }
 
-    /// Holds what is put in from now on for another time.
+    /// Sets the time for which fingerprints that are added from now on are kept.
     pub fn set_hold(&mut self, hold: Duration) {
         self.hold = hold;
     }
 
-    /// An operator lets the request run again.
+    /// Lets a request run again by order of an operator.
     ///
     /// ```
     /// use std::time::Duration;
@@ -87,7 +86,7 @@
         self.records.retain(|r| r.fingerprint != fingerprint);
     }
 
-    /// What may be done with a request.
+    /// Returns what may be done with a request.
     pub fn verdict(&self, fingerprint: Fingerprint, now: Duration) -> Verdict {
         match self.find(fingerprint).map(|i| self.records[i]) {
             Ok(r) if r.until <= now => Verdict::Clear,
@@ -97,7 +96,7 @@
         }
     }
 
-    /// An engine crashed while these were running. Returns those refused from now on.
+    /// Records an engine crash while these requests were running. Returns those refused from now on.
     pub fn crashed(&mut self, running: &[Fingerprint], now: Duration) -> Vec<Fingerprint> {
         let second = |f: &Fingerprint| self.verdict(*f, now) != Verdict::Clear;
         let (refused, suspects): (Vec<_>, Vec<_>) = running.iter().copied().partition(second);
@@ -106,7 +105,7 @@
         refused
     }
 
-    /// A request completed: it doesn't crash engines.
+    /// Records a request that completed: it does not crash engines.
     pub fn completed(&mut self, fingerprint: Fingerprint) {
         match self.find(fingerprint) {
             Ok(i) if !self.records[i].refused => {
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Takes over what a peer reports. What is refused here stays refused.
+    /// Merges what a peer reports. What is refused here stays refused.
     pub fn merge(&mut self, suspects: &[Fingerprint], refused: &[Fingerprint], now: Duration) {
         for &fingerprint in suspects {
             if self.verdict(fingerprint, now) == Verdict::Clear {
@@ -130,12 +129,12 @@
         }
     }
 
-    /// Suspects, sorted, for the report to peers.
+    /// Returns the suspects, sorted, for the report to peers.
     pub fn suspects(&self, now: Duration) -> Vec<Fingerprint> {
         self.listed(false, now)
     }
 
-    /// Refused ones, sorted, for the report to peers.
+    /// Returns the refused fingerprints, sorted, for the report to peers.
     pub fn refused(&self, now: Duration) -> Vec<Fingerprint> {
         self.listed(true, now)
     }
@@ -159,7 +158,7 @@
             self.records.retain(|r| r.until > now);
         }
         if self.records.len() > MAX_FINGERPRINTS {
-            // A caller could push its own refused fingerprint out with many that only are suspects.
+            // A caller could evict its own refused fingerprint with many that are only suspects.
             let place = |&i: &usize| (self.records[i].refused, self.records[i].until);
             let oldest = (0..self.records.len()).min_by_key(place);
             oldest.map(|i| self.records.remove(i));
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,19 +1,19 @@
-//! What is let in, what waits and in which order, what is refused.
+//! Admission of requests, and the order in which they wait.
 //!
-//! Load patterns: saturation, a burst, one workspace's flood, long work among short.
-//! Without this a queue grows until every request in it is too old to be of use: the
-//! fleet is busy and yet no deadline is met. A caller whose request is held only
-//! to be refused at its deadline has lost the time in which it could have gone elsewhere.
+//! Load patterns: saturation, a burst, a flood of one workspace, long requests among short ones. Without admission a
+//! queue grows until every request in it is too old to be of use: the fleet is busy and yet no deadline is met. A
+//! caller whose request is kept waiting only to be refused at its deadline has lost the time in which it could have
+//! gone elsewhere.
 //!
-//! - A request is let in only when its estimated wait and its own run fit before its
-//!   deadline, and refused at once otherwise, with the time after which it would fit.
-//! - The order among workspaces is that of [`crate::share`]. Within a workspace a request goes by
-//!   its arrival plus [`STRETCH`] times its run: short ones pass long ones, and
-//!   a long one is passed only for a time in proportion to its own length, so neither starves.
-//! - What can no longer make its deadline comes out of [`Queue::expired`] and never starts.
+//! - A request is admitted only when its estimated wait and its own run fit before its deadline, and refused at once
+//!   otherwise, with the time after which it would fit.
+//! - The order among workspaces is that of [`crate::share`]. Within a workspace requests are ordered by their arrival
+//!   plus [`STRETCH`] times their run: short requests overtake long ones, and a long one is overtaken only for a time
+//!   in proportion to its own length, so neither starves.
+//! - Requests that can no longer meet their deadline are returned by [`Queue::expired`] and never start.
 //!
-//! The wait is estimated from slot time: the work ahead divided by the slots this router
-//! has in use, which under load is what it gets of the fleet beside the other routers.
+//! The wait is estimated from slot time: the work ahead divided by the slots that this router has in use, which under
+//! load is what it gets of the fleet beside the other routers.
 
 use std::time::Duration;
 
@@ -23,17 +23,17 @@
 use crate::share::{Clock, Share, Workspace};
 use crate::tuning::Tuning;
 
-/// How many times its own run a request is put behind its arrival.
+/// How many times its own run a request is placed behind its arrival in the order.
 ///
-/// At 0 the order is first come first served and short requests wait behind long ones. Large
-/// values approach shortest first, under which long ones starve. See docs/design/decisions.md.
+/// At 0 the order is first come, first served, and short requests wait behind long ones. Large values approach
+/// shortest first, under which long requests starve. See docs/design/decisions.md.
 pub const STRETCH: f64 = 2.0;
 
-/// A waiting request is given up when its estimated start is late by more than
-/// this part of its time left. The estimate is coarse; at 0 requests that would make it are thrown away.
+/// A waiting request is refused when its estimated end is late by more than this ratio of the time left to its
+/// deadline. The estimate is coarse; at 0 requests that would meet their deadline are refused.
 pub const LATENESS_TOLERANCE: f64 = 0.25;
 
-/// Weight of one finished request in the smoothed ratio of used to asked run time.
+/// Weight of one finished request in the smoothed ratio of used to requested run time.
 const SMOOTHING: f64 = 0.02;
 
 /// Requests of one model or plain service that wait at one router.
@@ -48,13 +48,13 @@
 /// let request = Request { workspace: "north".into(), priority: 5, run: secs(2), deadline: secs(30) };
 /// let full = Room { free: 0, slots: 8, routers: 1 };
 /// let Admit::Wait(_) = queue.admit(request, "a draft", full, secs(0)) else { panic!() };
-/// // A reply came in, so a slot is free.
+/// // A request has ended, so a slot is free.
 /// let entry = queue.next(Room { free: 1, ..full }, secs(1)).unwrap();
 /// assert_eq!(entry.item, "a draft");
 /// // The agent refused it for want of slots: it keeps its place, and nothing is lost.
 /// queue.requeue(entry);
 /// assert_eq!((queue.waiting(), queue.running()), (1, 0));
-/// // It can't end before its deadline any more.
+/// // It can no longer end before its deadline.
 /// let refused = queue.expired(full, secs(29));
 /// assert_eq!(refused.len(), 1);
 /// ```
@@ -74,7 +74,7 @@
 }
 
 impl<T> Queue<T> {
-    /// An empty queue for these workspaces.
+    /// Creates an empty queue for these workspaces.
     ///
     /// ```
     /// use policy::{queue::Queue, share::Share};
@@ -99,13 +99,13 @@
         queue
     }
 
-    /// The same with other thresholds, before any request is let in.
+    /// Returns the queue with other thresholds, before any request is admitted.
     pub fn tuned(self, tuning: Tuning) -> Queue<T> {
         Queue { tuning, ..self }
     }
 
-    /// Takes over new settings. A workspace that is no longer listed keeps its place with
-    /// weight 1 until its requests have left, and new ones of it are refused.
+    /// Applies new settings. A workspace that is no longer listed is kept with weight 1 until its requests have left,
+    /// and new requests of it are refused.
     ///
     /// ```
     /// use policy::{queue::Queue, share::Share};
@@ -181,14 +181,15 @@
         }
     }
 
-    /// The request to start, when one may start. Called when capacity frees, until `None`;
+    /// Returns the request to start, if one may start. To be called when capacity is freed, until it returns `None`;
     /// `room.free` has to count what was started in between.
     pub fn next(&mut self, room: Room, now: Duration) -> Option<Entry<T>> {
         self.next_by(room, now, |_| 0)
     }
 
-    /// The same where `affinity` says how well a request suits the free slots: of requests that may go with equal
-    /// right the one that suits best goes, see [`crate::route::Table::cached_ranges`].
+    /// Like [`Queue::next`], with `affinity` as the number that says how well a request suits the free slots: of
+    /// requests with equal right to start the one that suits best is returned, see
+    /// [`crate::route::Table::cached_ranges`].
     pub fn next_by(
         &mut self,
         room: Room,
@@ -217,8 +218,8 @@
         }
     }
 
-    /// Requests that can't make their deadline any more by the present estimate, each with
-    /// its refusal. Called from time to time, for example every 100 ms, and after [`Queue::next`].
+    /// Returns the requests that can no longer meet their deadline by the present estimate, each with its refusal. To
+    /// be called regularly, for example every 100 ms, and after [`Queue::next`].
     pub fn expired(&mut self, room: Room, now: Duration) -> Vec<(Entry<T>, Refusal)> {
         for i in 0..self.waiting.len() {
             let mut ahead = 0.0;
@@ -252,7 +253,7 @@
             .collect()
     }
 
-    /// A started request has ended after holding its slots for `held`; or was not run.
+    /// Records that a started request has ended after it held its slots for `held`; zero if it was not run.
     pub fn done(&mut self, request: &Request, held: Duration) {
         self.running = self.running.saturating_sub(1);
         let (asked, held) = (request.run.as_secs_f64().max(1e-6), held.as_secs_f64());
@@ -262,12 +263,12 @@
         if let Ok(i) = self.find(&request.workspace) {
             let workspace = &mut self.workspaces[i];
             workspace.running = workspace.running.saturating_sub(1);
-            // Callers name more tokens than the answer has: what was not used is given back.
+            // Callers ask for more tokens than the answer has: what was not used is given back.
             workspace.start -= (asked - held).max(0.0) / workspace.weight();
         }
     }
 
-    /// Puts a started request back that was not run, at its old place.
+    /// Puts a started request that was not run back at its old place.
     pub fn requeue(&mut self, entry: Entry<T>) {
         self.done(&entry.request, Duration::ZERO);
         match self.find(&entry.request.workspace) {
@@ -278,30 +279,30 @@
         }
     }
 
-    /// Puts a started request back that lost its backend server, before all others of its workspace: its
-    /// caller was told that it runs and may have part of the answer.
+    /// Puts a started request that lost its backend server back, before all others of its workspace: its caller knows
+    /// that it runs and may have part of the answer.
     pub fn requeue_first(&mut self, entry: Entry<T>) {
         self.requeue(Entry { key: Duration::ZERO, ..entry });
     }
 
-    /// Takes a waiting request out, when its caller has gone.
+    /// Removes a waiting request whose caller has left.
     pub fn cancel(&mut self, workspace: &str, ticket: Ticket) -> Option<Entry<T>> {
         let i = self.find(workspace).ok()?;
         let at = self.waiting[i].iter().position(|e| e.ticket == ticket)?;
         Some(self.take(i, at))
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.iter().map(Vec::len).sum()
     }
 
-    /// Requests that were started and have not ended.
+    /// Returns the number of requests that were started and have not ended.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Bytes of state, with the items' own size but not what they point to.
+    /// Returns the bytes of state, with the items' own size but not what they point to.
     pub fn bytes(&self) -> usize {
         let names: usize = self.workspaces.iter().map(|w| w.share.workspace.capacity()).sum();
         let waiting: usize =
@@ -344,7 +345,7 @@
             self.weights -= self.workspaces[i].weight();
         }
         self.update_next(i);
-        // Sums of floats keep a rest; an empty queue must not look backlogged for ever.
+        // Sums of floats leave a remainder; an empty queue must not look backlogged for ever.
         if self.weights < 0.5 {
             (self.weights, self.backlog) = (0.0, 0.0);
         }
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -1,48 +1,50 @@
-//! How many requests routers send to a server that names a limit for all of them together.
+//! Permits for a server that names a limit on the requests of all routers together.
 //!
-//! Load pattern: a server in need takes three requests a second, and twenty routers have twelve a second for it, most of
-//! them at a few. If each router takes an equal part, those with many callers are short and the rest leave
-//! theirs unused; if each sees only its own requests, the server gets all of them.
+//! Load pattern: a server in need takes three requests a second, and twenty routers have twelve a second for it, most
+//! of them at a few routers. If each router takes an equal part, those with many callers are short while the others
+//! leave theirs unused; if each considers only its own requests, the server receives all of them.
 //!
-//! One router keeps the [`Ledger`] of such a server and gives permits to the others, which keep them as [`Permits`] for a
-//! moment. What routers sent before they knew of the limit counts, and each reports it once it knows, so that a server
-//! that was flooded gets nothing until that is past. While routers disagree about who keeps the ledger, each of its keepers starts without credit.
+//! One router owns the [`Ledger`] of such a server and grants permits to the others, which keep them as [`Permits`]
+//! for a short time. Requests that routers sent before they knew of the limit count as well: each router reports them
+//! once it knows of it, so that a server that was flooded receives nothing until they have left the window. While
+//! routers disagree about the owner of the ledger, each of its owners starts without credit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time over which requests to a server are counted.
+/// Length of the window in which requests to a server are counted.
 pub const WINDOW: Duration = Duration::from_secs(4);
 
-/// Least limit, in requests a second. A server that takes none would never be asked again whether it still does not.
+/// Smallest limit, in requests a second. A server that takes none would never be sent a request that shows whether it
+/// still takes none.
 pub const MIN_LIMIT: f64 = 0.2;
 
-/// Time for which permits that nobody asks for are saved up.
+/// Time for which credit accrues while no permits are requested.
 const CREDIT_TIME: Duration = Duration::from_millis(1000);
 
-/// Permits that are saved up at least. With less than one beside the next one, part of a low limit is lost while that is
-/// on its way.
+/// Smallest cap on the credit, in permits. With less than one permit beside the next one, part of a low limit would
+/// be lost while that one is in transit.
 const MIN_CREDIT_CAP: f64 = 2.0;
 
 /// Time for which a permit may be used.
 const PERMIT_VALIDITY: Duration = Duration::from_millis(500);
 
-/// Shortest time until a router that got no permit asks again.
+/// Shortest time after which a router that got no permit asks again.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time after which a refused caller is told to come back. Callers have some twenty seconds and come back within
-/// a third.
+/// Longest time after which a refused caller is asked to come back. Callers have some twenty seconds and come back
+/// within a third of that.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
 
 /// Name of a router.
 pub type Router = String;
 
-/// Requests that one router sent to one server lately.
+/// Requests that one router has sent to one server within [`WINDOW`].
 #[derive(Debug, Clone, Default)]
 pub struct Sent(VecDeque<Duration>);
 
 impl Sent {
-    /// Notes a request.
+    /// Records a request.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -59,13 +61,13 @@
         self.0.push_back(now);
     }
 
-    /// Requests within [`WINDOW`] before `now`.
+    /// Returns the number of requests within [`WINDOW`] before `now`.
     pub fn count(&mut self, now: Duration) -> usize {
         self.expire(now);
         self.0.len()
     }
 
-    /// Those of them that were sent until `time`, and when the last one was.
+    /// Returns how many of them were sent until `time`, and when the last of these was.
     pub fn before(&mut self, time: Duration, now: Duration) -> (u32, Option<Duration>) {
         self.expire(now);
         let count = self.0.partition_point(|at| *at <= time);
@@ -79,23 +81,23 @@
     }
 }
 
-/// A router's question for permits.
+/// A router's request for permits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// Requests a second that the server names, as the router knows it.
+    /// Requests a second that the server names, as far as the router knows.
     pub limit: f64,
-    /// Requests that it sent within [`WINDOW`] before it knew of a limit.
+    /// Requests that it sent without a permit within [`WINDOW`], before it knew of a limit.
     pub free: u32,
     /// How long ago the last of them was sent.
     pub free_age: Duration,
-    /// Permits wanted; none to report only.
+    /// Permits wanted; 0 to report only.
     pub want: u32,
 }
 
-/// The answer.
+/// The answer to a request for permits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Grant {
-    /// Permits given.
+    /// Permits granted.
     pub permits: u32,
     /// Time after which the router may ask again.
     pub retry_after: Duration,
@@ -106,11 +108,11 @@
 struct Unpermitted {
     router: Router,
     count: u32,
-    /// When the last of them no longer counts.
+    /// When the last of them leaves the window.
     until: Duration,
 }
 
-/// Permits for one server.
+/// Account of the permits for one server.
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     credit: f64,
@@ -121,7 +123,7 @@
 }
 
 impl Ledger {
-    /// Gives a router permits.
+    /// Grants permits to a router.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -131,7 +133,7 @@
     /// let mut ledger = Ledger::default();
     /// assert_eq!(ledger.grant("a", request, second).permits, 0);
     /// assert_eq!(ledger.grant("a", request, 2 * second).permits, 2);
-    /// // A flood of before counts until it is past.
+    /// // Requests sent before the limit was known count until they have left the window.
     /// let flood = Request { free: 40, ..request };
     /// assert_eq!(ledger.grant("b", flood, 3 * second).permits, 0);
     /// assert_eq!(ledger.grant("a", request, 4 * second).permits, 0);
@@ -143,7 +145,7 @@
         self.record_unpermitted(router, request, now);
         let free: u32 = self.free.iter().map(|free| free.count).sum();
         let known = self.given.count(now) as f64 + f64::from(free);
-        // What is left of a permit at either end of the window.
+        // The window may cut off part of a permit at either end.
         let room = limit * WINDOW.as_secs_f64() + 1.0 - known;
         let permits = request.want.min(self.credit as u32).min(room.max(0.0) as u32);
         self.credit -= f64::from(permits);
@@ -157,7 +159,7 @@
         Grant { permits, retry_after }
     }
 
-    /// When it was last asked.
+    /// Returns when permits were last requested.
     pub fn last_request(&self) -> Option<Duration> {
         self.at
     }
@@ -183,18 +185,18 @@
 /// Permits that a router holds for one server.
 #[derive(Debug, Clone, Default)]
 pub struct Permits {
-    /// Until when each may be used.
+    /// Expiry of each permit.
     valid_until: VecDeque<Duration>,
     /// When it may ask for more.
     next: Duration,
-    /// Permits got lately.
+    /// Permits received within [`WINDOW`].
     got: Sent,
-    /// Time for which a refused caller was last told to come back.
+    /// Time at which the last refused caller was asked to come back.
     next_slot: Duration,
 }
 
 impl Permits {
-    /// Permits that may be used now.
+    /// Returns the number of permits that may be used now.
     pub fn available(&mut self, now: Duration) -> usize {
         while self.valid_until.front().is_some_and(|until| *until <= now) {
             self.valid_until.pop_front();
@@ -202,18 +204,18 @@
         self.valid_until.len()
     }
 
-    /// Uses a permit, if there is one.
+    /// Uses a permit; returns false if there is none.
     pub fn take(&mut self, now: Duration) -> bool {
         self.available(now);
         self.valid_until.pop_front().is_some()
     }
 
-    /// Whether to ask for permits.
+    /// Returns whether to ask for permits.
     pub fn may_ask(&mut self, now: Duration) -> bool {
         self.available(now) == 0 && self.next <= now
     }
 
-    /// Takes an answer over.
+    /// Adds the permits of an answer.
     pub fn receive(&mut self, grant: Grant, now: Duration) {
         for _ in 0..grant.permits {
             self.valid_until.push_back(now + PERMIT_VALIDITY);
@@ -222,8 +224,8 @@
         self.next = now + grant.retry_after;
     }
 
-    /// When a refused caller is to come back, of a server that names `limit`, at one of `routers` routers: callers come
-    /// one by one, as permits did lately.
+    /// Returns the time after which a refused caller is to come back to a server that names `limit`, at one of
+    /// `routers` routers. Callers are spread at the rate at which permits were received.
     pub fn retry_after(&mut self, limit: f64, routers: u32, now: Duration) -> Duration {
         let even = limit.max(MIN_LIMIT) / f64::from(routers.max(1));
         let rate = even.max(self.got.count(now) as f64 / WINDOW.as_secs_f64());
--- a/crates/policy/src/ramp.rs
+++ b/crates/policy/src/ramp.rs
@@ -1,16 +1,16 @@
-//! How fast work shifts to a VM that joins or comes back.
+//! Slow start of a VM that joins or comes back.
 //!
-//! Load pattern: a VM joins while the fleet is busy, or a third of it returns at once. Every
-//! router sees the idle slots at the same moment; the VM, with cold caches and nothing
-//! warmed up, gets a full load in one step, its step times soar and it is taken for a failing one.
+//! Load pattern: a VM joins while the fleet is busy, or a third of it returns at once. Every router sees the idle
+//! slots at the same moment; the VM, with cold caches and nothing warmed up, gets a full load in one step, its step
+//! times soar and it is treated as a failing one.
 //!
-//! So a VM starts with one slot and the slots allowed double every [`DOUBLING_TIME`]: 8 slots
-//! are reached after three steps. Doubling, since a fixed rate is slow for large VMs. A VM that
-//! flaps between live and gone doubles its step with each return, up to [`MAX_FLAP_FACTOR`] times, and
-//! is forgiven after [`FLAP_MEMORY`], so that flapping VMs don't drag work to and fro.
+//! So a VM starts with one slot, and the slots allowed double every [`DOUBLING_TIME`]: 8 slots are reached after
+//! three steps. They double because a fixed rate is slow for large VMs. A VM that flaps between live and lost doubles
+//! its step with each return, up to [`MAX_FLAP_FACTOR`] times, until it has been in service for [`FLAP_MEMORY`], so
+//! that flapping VMs don't move work back and forth.
 //!
-//! A range whose replicas are all being ramped up has nobody to spare them for: there the
-//! slow start ends at once.
+//! In a range whose replicas are all being ramped up, no other replica takes the rest of the load: there the slow
+//! start ends at once.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 /// Largest factor on [`DOUBLING_TIME`] for a VM that flaps.
 pub const MAX_FLAP_FACTOR: u32 = 16;
 
-/// Time in service after which earlier flaps are forgotten.
+/// Time in service after which earlier flaps no longer count.
 pub const FLAP_MEMORY: Duration = Duration::from_secs(60);
 
 /// Slow start of one VM.
@@ -32,7 +32,7 @@
 }
 
 impl Ramp {
-    /// A VM joins at `now`; `step` is usually [`DOUBLING_TIME`].
+    /// Starts the ramp of a VM that joins at `now`; `step` is usually [`DOUBLING_TIME`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -45,7 +45,7 @@
         Ramp { step, since: now, factor: 1 }
     }
 
-    /// A VM known at the router's own start: it is warm, nothing shifts to it.
+    /// Returns a ramp at full load, for a VM known at the router's own start: it is warm, and no work shifts to it.
     ///
     /// ```
     /// use std::time::Duration;
@@ -56,7 +56,7 @@
         Ramp { step: DOUBLING_TIME, since: Duration::ZERO, factor: 0 }
     }
 
-    /// The VM comes back at `now` after it had left or was lost.
+    /// Starts the ramp of a VM that comes back at `now` after it had left or was lost.
     ///
     /// ```
     /// use std::time::Duration;
@@ -72,7 +72,7 @@
         Ramp { step, since: now, factor }
     }
 
-    /// Slots of `slots` that may be used at `now`.
+    /// Returns how many of `slots` slots may be used at `now`.
     pub fn allowed(&self, slots: u32, now: Duration) -> u32 {
         if self.factor == 0 {
             return slots;
--- a/crates/policy/src/range.rs
+++ b/crates/policy/src/range.rs
@@ -1,8 +1,8 @@
-//! The replicas of one range of layers, as one router sees them.
+//! The replicas of one range of layers, as one router knows them.
 //!
-//! Load pattern: mixed accelerators. What a step time means depends on the peers: 20 ms is fast in one
-//! range and slow in another. The range keeps its slots in order of their step time, so that a choice
-//! finds a replica's place among them, and the step time at a place, by binary search.
+//! Load pattern: mixed accelerators. What a step time means depends on the other replicas: 20 ms is fast in one range
+//! and slow in another. The range keeps its slots in order of their step time, so that a choice finds a replica's
+//! quantile among them, and the step time at a quantile, by binary search.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 pub(crate) struct Range {
     /// Sorted by name.
     pub(crate) list: Vec<Replica>,
-    /// Step times in microseconds, sorted, each with the slots up to and including it.
+    /// Step times in microseconds, sorted, each with the number of slots up to and including it.
     steps: Vec<(f64, f64)>,
     mean: f64,
 }
@@ -41,10 +41,10 @@
         self.mean = if all > 0.0 { sum / all } else { DEFAULT_STEP_US };
     }
 
-    /// Ends the slow start of all replicas when none that works in full is left.
+    /// Ends the slow start of all replicas when none is left that takes its full load.
     ///
-    /// A slow start shifts work from warm replicas to a new one. Without a warm one it
-    /// would only make callers wait beside idle slots, for seconds after a restart.
+    /// A slow start shifts work from warm replicas to a new one. Without a warm one it would only make callers wait
+    /// beside idle slots, for seconds after a restart.
     fn end_ramps(&mut self, now: Duration) {
         let full = |r: &Replica| r.limit(now) > 0 && r.ramp.allowed(r.slots, now) >= r.slots;
         if self.list.iter().any(full) {
@@ -55,12 +55,12 @@
         }
     }
 
-    /// Mean step time of a slot in microseconds.
+    /// Returns the mean step time of a slot in microseconds.
     pub(crate) fn mean_step(&self) -> f64 {
         if self.mean > 0.0 { self.mean } else { DEFAULT_STEP_US }
     }
 
-    /// Part of the slots that are faster than `step`, and half of its equals.
+    /// Returns the part of the slots that are faster than `step`, plus half of those of equal speed.
     pub(crate) fn quantile(&self, step: f64) -> f64 {
         let slots = |i: usize| if i > 0 { self.steps[i - 1].1 } else { 0.0 };
         let from = slots(self.steps.partition_point(|s| s.0 < step));
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Step time in microseconds of the slot at that place.
+    /// Returns the step time in microseconds of the slot at that quantile.
     pub(crate) fn step_at(&self, quantile: f64) -> f64 {
         let Some((last, all)) = self.steps.last() else {
             return DEFAULT_STEP_US;
@@ -80,16 +80,16 @@
         self.steps.get(i).map_or(*last, |s| s.0)
     }
 
-    /// What ejection compares with.
+    /// Returns the figures that ejection compares with.
     pub(crate) fn peers(&self, now: Duration) -> Peers {
         let ejected = |r: &&Replica| matches!(r.health.state(now), State::Ejected { .. });
         let ejected = self.list.iter().filter(ejected).count();
-        // Without the ejected, whose old figures would lift it.
+        // Without the ejected replicas, whose old figures would raise it.
         let median_us = self.steps.get(self.steps.len() / 2).map_or(0.0, |s| s.0);
         Peers { replicas: self.list.len(), ejected, median_us }
     }
 
-    /// The replicas a prefix or key belongs to among those that `usable` lets through, best first.
+    /// Returns the replicas that a prefix or key belongs to among those for which `usable` is true, best first.
     pub(crate) fn homes(
         &self,
         prefix: Prefix,
@@ -110,7 +110,7 @@
         best.map(|b| b.1).into_iter().flatten()
     }
 
-    /// True when a replica may take one more of its own prefix.
+    /// Returns true when a replica may take one more request of its own prefix.
     pub(crate) fn within_bound(&self, i: usize, bound: f64, now: Duration) -> bool {
         let busy = self.list.iter().map(Replica::busy).sum();
         let slots = self.list.iter().map(|r| r.limit(now)).sum();
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -1,10 +1,10 @@
-//! A backend server as one router sees it.
+//! A backend server as one router knows it.
 //!
-//! Load pattern: reports that are late. Between two of them the router counts what it
-//! starts and sees end itself; without that it sends all that arrives between two reports
-//! to the server that looked idlest in the last one. A report of some age knows nothing of what
-//! started and ended here since it was taken, so those changes are kept and added to it:
-//! without this a late report brings back load that has ended, and slots stay idle.
+//! Load pattern: reports that are late. Between two reports the router itself counts the requests that it starts and
+//! that end; without that it would send everything that arrives between two reports to the server that was least busy
+//! in the last one. A report of some age doesn't include what started and ended here since it was taken, so those
+//! changes are kept and added to it: otherwise a late report would bring back load that has ended, and slots would
+//! stay idle.
 
 use std::time::Duration;
 
@@ -13,14 +13,15 @@
 use crate::link::DataCentre;
 use crate::ramp::Ramp;
 
-/// State of a backend server in bytes, without the text of its VM's name and at most
-/// [`MAX_CHANGES`] times 24 for what a report may not know of.
+/// State of a backend server in bytes, without the text of its VM's name and at most [`MAX_CHANGES`] times 24 for the
+/// changes that a report may not include.
 pub const BYTES: usize = size_of::<Replica>();
 
-/// Changes kept since the last report; with more the oldest are taken as known to the report.
+/// Largest number of changes kept since the last report; beyond it the oldest are assumed to be included in the
+/// report.
 pub const MAX_CHANGES: usize = 32;
 
-/// Step time assumed before the first report, in microseconds; only its relation to peers matters.
+/// Step time assumed before the first report, in microseconds; only its ratio to that of the peers matters.
 pub(crate) const DEFAULT_STEP_US: f64 = 30_000.0;
 
 /// Weight of a report in the smoothed step time.
@@ -36,7 +37,7 @@
     pub(crate) data_centre: DataCentre,
     pub(crate) slots: u32,
     pub(crate) reported: u32,
-    /// Started (+1) and ended (-1) here, with the time, as far as a report may not know of it.
+    /// Requests started (+1) and ended (-1) here, with the time, that a report may not include.
     changes: Vec<(Duration, i8)>,
     /// When the last report was taken.
     taken: Duration,
@@ -46,7 +47,7 @@
     pub(crate) ramp: Ramp,
     pub(crate) leaving: bool,
     pub(crate) gone: bool,
-    /// When it last refused for want of slots; a report taken before then doesn't know.
+    /// When it last refused for want of slots; a report taken before then doesn't show it.
     full: Option<Duration>,
     /// Since when it has a free slot.
     pub(crate) free_since: Duration,
@@ -79,9 +80,9 @@
         seen.max(self.own)
     }
 
-    /// A request of this router starts (+1) or ends (-1).
+    /// Records that a request of this router starts (+1) or ends (-1).
     pub(crate) fn change(&mut self, by: i8, now: Duration) {
-        // What ran on a VM that was lost has ended already.
+        // Requests that ran on a VM that was lost have ended already.
         if by < 0 && self.own == 0 {
             return;
         }
@@ -92,13 +93,13 @@
         self.changes.push((now, by));
     }
 
-    /// It refused for want of slots.
+    /// Records a refusal for want of slots.
     pub(crate) fn refused(&mut self, now: Duration) {
         self.change(-1, now);
         self.full = Some(now);
     }
 
-    /// A request of this router has ended.
+    /// Records that a request of this router has ended.
     pub(crate) fn ended(&mut self, now: Duration) {
         self.change(-1, now);
         self.full = None;
@@ -107,7 +108,7 @@
         self.reported = self.reported.saturating_sub(over);
     }
 
-    /// A report of `busy` slots that was taken at `taken`. An older one than the last says nothing.
+    /// Applies a report of `busy` slots that was taken at `taken`. One older than the last is ignored.
     pub(crate) fn report(&mut self, busy: u32, taken: Duration) {
         if taken >= self.taken {
             (self.reported, self.taken) = (busy, taken);
@@ -116,13 +117,13 @@
         }
     }
 
-    /// Forgets what ran there.
+    /// Drops the counts of what ran there.
     pub(crate) fn clear(&mut self) {
         (self.own, self.reported) = (0, 0);
         self.changes.clear();
     }
 
-    /// Bytes of state.
+    /// Returns the bytes of state.
     pub(crate) fn bytes(&self) -> usize {
         BYTES + self.vm.capacity() + self.changes.capacity() * size_of::<(Duration, i8)>()
     }
@@ -141,19 +142,19 @@
         }
     }
 
-    /// Notes a change from `before` free slots.
+    /// Updates `free_since` after a change from `before` free slots.
     pub(crate) fn update_free_since(&mut self, before: u32, now: Duration) {
         if before == 0 && self.free(now) > 0 {
             self.free_since = now;
         }
     }
 
-    /// Smoothed step time in microseconds, or one like any other's before the first report.
+    /// Returns the smoothed step time in microseconds, or the default before the first report.
     pub(crate) fn step(&self) -> f64 {
         if self.step_us > 0.0 { self.step_us } else { DEFAULT_STEP_US }
     }
 
-    /// Takes over a fresh step time.
+    /// Adds a fresh step time to the smoothed one.
     pub(crate) fn smooth(&mut self, fresh: f64) {
         self.step_us = match self.step_us > 0.0 {
             true => self.step_us + SMOOTHING * (fresh - self.step_us),
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -1,13 +1,13 @@
-//! When a failed try is tried again.
+//! Whether and when a failed request is retried.
 //!
-//! Load pattern: a third of the fleet goes at once, or the fleet is full and reports are late. Each
-//! failure then causes another try, the tries are load too, and the system stays
-//! overloaded after the cause has gone (a retry storm).
+//! Load pattern: a third of the fleet is lost at once, or the fleet is full and reports are late. Each failure then
+//! causes another try, the tries are load too, and the system stays overloaded after the cause has gone (a retry
+//! storm).
 //!
-//! A try is repeated only if it was not run or may run twice. Each costs a whole token of a
-//! bucket that each success fills by [`RATIO`]: retries are at most that part of the
-//! work in the long run, and [`BURST`] at once. Full jitter spreads them: a fixed backoff makes all
-//! callers of a lost server come back together. None starts that can't end by the deadline.
+//! A request is retried only if it was not run or may run twice. Each retry costs a whole token of a bucket to which
+//! each success adds [`RATIO`]: in the long run retries are at most that part of the work, and at most [`BURST`] at
+//! once. Full jitter spreads them: with a fixed backoff all callers of a lost server would come back together. No
+//! retry starts that can't end by the deadline.
 
 use std::time::Duration;
 
@@ -16,27 +16,27 @@
 
 use crate::tuning::Tuning;
 
-/// Tokens a success adds.
+/// Tokens that a success adds.
 pub const RATIO: f64 = 0.1;
 
-/// Tokens a success adds to the bucket for refusals. Few: the next replica of a list matches the chain worse
-/// than the first, so in a full fleet a request had better go back to the queue (at 1.0 the
-/// simulator loses a point of throughput at saturation).
+/// Tokens that a success adds to the bucket for refusals. Few, because the next replica of a list matches the chain
+/// worse than the first, so that in a full fleet a request had better go back to the queue (at 1.0 the simulator
+/// loses a point of throughput at saturation).
 pub const REFUSAL_RATIO: f64 = 0.1;
 
-/// Tokens the bucket holds at most; it starts full.
+/// Capacity of the bucket in tokens; it starts full.
 pub const BURST: f64 = 50.0;
 
-/// Upper end of the first wait.
+/// Upper end of the first backoff.
 pub const BASE_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Upper end of any wait.
+/// Upper end of any backoff.
 pub const MAX_BACKOFF: Duration = Duration::from_secs(1);
 
-/// Tries of one request at most, the first included.
+/// Largest number of tries of one request, the first included.
 pub const MAX_TRIES: u32 = 5;
 
-/// What is certain about the failed try.
+/// What is certain about a failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It was not run and will not be.
@@ -47,19 +47,19 @@
     Unknown,
 }
 
-/// Why there is no further try.
+/// Why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Stop {
     /// It may have run and must not run twice.
     #[display("it may have run and must not run twice")]
     Unsafe,
-    /// Too many tries.
+    /// It was tried [`MAX_TRIES`] times.
     #[display("it was tried as often as allowed")]
     Tries,
-    /// The budget is empty.
+    /// The retry budget is empty.
     #[display("the retry budget is used up")]
     Budget,
-    /// No time before the deadline.
+    /// No time is left before the deadline.
     #[display("no time is left before the deadline")]
     Deadline,
 }
@@ -67,22 +67,22 @@
 /// Decision on a failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Retry {
-    /// Try again after this wait.
+    /// Retry after this backoff.
     After(Duration),
-    /// Don't; answer the caller, or put a request that was not run back into its queue.
+    /// Don't retry: answer the caller, or put a request that was not run back into its queue.
     Stop(Stop),
 }
 
 /// A failed try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Failure {
-    /// What is certain.
+    /// What is certain about it.
     pub outcome: Outcome,
     /// Tries made, at least 1.
     pub tries: u32,
-    /// Time it would still run.
+    /// Time that the request would still run.
     pub run: Duration,
-    /// Its deadline, since the router's start.
+    /// Deadline of the request, since the router's start.
     pub deadline: Duration,
 }
 
@@ -101,8 +101,8 @@
 }
 
 impl Budget {
-    /// A bucket of its own for tries at the next replica after a refusal for want of slots. Counted with
-    /// the failures, these empty the bucket just when a loss needs it.
+    /// Creates a separate bucket for tries at the next replica after a refusal for want of slots. Counted with the
+    /// failures, these would empty the bucket just when a loss needs it.
     ///
     /// ```
     /// assert!(policy::retry::Budget::refusals().take());
@@ -111,12 +111,12 @@
         Budget { ratio: REFUSAL_RATIO, ..Budget::default() }
     }
 
-    /// A full bucket with other thresholds.
+    /// Creates a full bucket with other thresholds.
     pub fn tuned(tuning: &Tuning) -> Budget {
         Budget { tokens: tuning.burst, ratio: tuning.retry_ratio, burst: tuning.burst }
     }
 
-    /// A request succeeded.
+    /// Records a request that succeeded.
     ///
     /// ```
     /// let mut budget = policy::retry::Budget::default();
@@ -127,12 +127,12 @@
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Whole tokens left.
+    /// Returns the whole tokens left.
     pub fn left(&self) -> u32 {
         self.tokens as u32
     }
 
-    /// Takes a token for a try elsewhere at once, at the next replica of the list. False when there is none.
+    /// Takes a token for an immediate try at the next replica of the list; returns false if there is none.
     ///
     /// ```
     /// assert!(policy::retry::Budget::default().take());
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,35 +1,35 @@
-//! What a router can count on of a fleet that it shares with other routers.
+//! The capacity that a router can expect of a fleet which it shares with other routers.
 //!
-//! Load pattern: saturation, with several routers that decide on their own. The slots a router
-//! has in use are what it gets beside the others, and so the best measure of the rate at which
-//! its queue moves. A freed slot is known first to the router whose request ended, which refills it
-//! at once; a router that joins a full fleet would never get one.
+//! Load pattern: saturation, with several routers that decide on their own. The slots that a router has in use are
+//! what it gets beside the others, and so the best measure of the rate at which its queue moves. A freed slot is
+//! known first to the router whose request ended, which fills it again at once; a router that joins a full fleet
+//! would never get one.
 
-/// Part of its even share of the slots that a router counts on before it has any in use.
+/// Ratio of its even share of the slots that a router expects before it has any in use.
 const MIN_SHARE_RATIO: f64 = 0.5;
 
 /// A router that uses more than this times its even share leaves the last free slots to the others.
 ///
-/// Without this a router that joins a saturated fleet gets nothing: a freed slot is known
-/// first to the router whose request has ended, and that one has a request waiting.
+/// Without this a router that joins a saturated fleet gets nothing: a freed slot is known first to the router whose
+/// request has ended, and that one has a request waiting.
 pub const OVER_SHARE: f64 = 1.05;
 
-/// Part of the slots that a router past [`OVER_SHARE`] leaves free.
+/// Ratio of the slots that a router past [`OVER_SHARE`] leaves free.
 pub const FREE_RESERVE_RATIO: f64 = 0.02;
 
-/// What the router sees of the fleet for this queue, see [`crate::route::Table::room`].
+/// Free and total slots of the fleet for this queue, see [`crate::route::Table::room`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Room {
-    /// Requests that could start now: free slots of the scarcest range.
+    /// Requests that could start now: free slots of the range that has fewest.
     pub free: u32,
-    /// Slots of the scarcest range.
+    /// Slots of the range that has fewest.
     pub slots: u32,
     /// Routers that share them, this one included.
     pub routers: u32,
 }
 
 impl Room {
-    /// Slots that this router uses or can have, while it has `running` in use.
+    /// Returns the slots that this router uses or can expect, while it has `running` in use.
     ///
     /// ```
     /// let room = policy::room::Room { free: 12, slots: 60, routers: 6 };
@@ -42,8 +42,8 @@
         (f64::from(running) + free).max(even * MIN_SHARE_RATIO)
     }
 
-    /// True when a router that has `running` slots in use may take one more;
-    /// `free_reserve_ratio` is usually [`FREE_RESERVE_RATIO`].
+    /// Returns true when a router that has `running` slots in use may take one more; `free_reserve_ratio` is usually
+    /// [`FREE_RESERVE_RATIO`].
     ///
     /// ```
     /// let room = policy::room::Room { free: 1, slots: 60, routers: 6 };
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -1,16 +1,16 @@
-//! Where work goes: a chain of replicas, one for each range of layers.
+//! Routing: the choice of a chain of replicas, one for each range of layers.
 //!
-//! Load patterns: mixed speeds, unequal links, reports that are late, several routers that decide
-//! on their own. If each router takes the replica that looks idlest, all take the same one until the
-//! next report, then all the next one (herding): refusals at one, idle slots at the rest.
+//! Load patterns: mixed speeds, unequal links, reports that are late, several routers that decide on their own. If
+//! each router takes the replica that looks least busy, all take the same one until the next report, then all the
+//! next one (herding): refusals at one, idle slots at the rest.
 //!
-//! - The load of a replica is its last report plus what this router started and
-//!   minus what it saw end since. A refusal for want of slots counts as full until the next report or end.
-//! - Of the replicas with a free slot a few are drawn at random, by free slots and fitness, and the
-//!   better of the first two goes first: power of two choices, which herds little on
-//!   old reports. The others follow as alternatives, for the try after a refusal.
-//! - Better is the shorter expected time: step time and link for each token, the prompt
-//!   unless the prefix is likely to be cached there ([`crate::affinity`]); see [`crate::chain`].
+//! - The load of a replica is its last report plus what this router started and minus what ended since. A refusal for
+//!   want of slots makes it count as full until the next report or end.
+//! - Of the replicas with a free slot a few are drawn at random, by free slots and fitness, and the better of the
+//!   first two goes first: power of two choices, which herds little on old reports. The others follow as
+//!   alternatives, for the try after a refusal.
+//! - Better is the shorter expected time: step time and link for each token, and the prompt unless the prefix is
+//!   likely to be cached there ([`crate::affinity`]); see [`crate::chain`].
 
 use std::time::Duration;
 
@@ -27,8 +27,7 @@
 use crate::tuning::Tuning;
 use crate::work::Cost;
 
-/// Longest step time taken from a report, in microseconds: a wrong one must not make
-/// estimates overflow.
+/// Longest step time taken from a report, in microseconds: a wrong one must not make estimates overflow.
 pub const MAX_STEP_US: u64 = 600_000_000;
 
 /// An agent's report.
@@ -46,7 +45,7 @@
     pub age: Duration,
 }
 
-/// What a request needs to be routed.
+/// The properties of a request by which it is routed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request<'a> {
     /// Its tokens; 1 and 1 for a call.
@@ -57,8 +56,8 @@
     pub prefix: Option<Prefix>,
     /// True when the preferred replica comes first whatever its load, as for a keyed call.
     pub keyed: bool,
-    /// True for a draft that lost a stage: full replicas are tried too, since they keep a reserve for
-    /// it ([`crate::limit`]), and no better match is waited for.
+    /// True for a draft that lost a stage: full replicas are tried too, since they keep a reserve for it
+    /// ([`crate::limit`]), and it does not wait for a better match.
     pub recovery: bool,
     /// Data centre of the router.
     pub from: DataCentre,
@@ -66,21 +65,21 @@
     pub avoid: &'a [Vm],
 }
 
-/// Replicas for each range, best first; the first range's first is the head.
+/// Replicas for each range, best first; the first of the first range is the head.
 pub type Chain = Vec<Vec<Vm>>;
 
 /// How a try on a replica ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// Well.
+    /// It succeeded.
     Succeeded,
-    /// By the replica's fault: no answer, lost connection, crash.
+    /// It failed by the replica's fault: no answer, lost connection, crash.
     Failed,
-    /// For a reason that says nothing of the replica: cancelled, another range's fault.
+    /// It ended for a reason that says nothing about the replica: cancelled, another range's fault.
     Neutral,
 }
 
-/// Replicas of one model version or plain service, as one router sees them.
+/// Replicas of one model version or plain service, as one router knows them.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,7 +109,7 @@
 }
 
 impl Table {
-    /// A table for `ranges` ranges of layers; 1 for a plain service.
+    /// Creates a table for `ranges` ranges of layers; 1 for a plain service.
     ///
     /// ```
     /// use std::time::Duration;
@@ -136,12 +135,12 @@
         Table { ranges: vec![Range::default(); ranges], links, tuning: Tuning::default() }
     }
 
-    /// The same with other thresholds, before any VM is added.
+    /// Returns the table with other thresholds, before any VM is added.
     pub fn tuned(self, tuning: Tuning) -> Table {
         Table { tuning, ..self }
     }
 
-    /// Index of a data centre, for [`Request::from`].
+    /// Returns the index of a data centre, for [`Request::from`].
     pub fn data_centre(&mut self, name: &str) -> DataCentre {
         self.links.index(name)
     }
@@ -151,13 +150,13 @@
         self.add(range, vm, data_centre, slots, Ramp::warm(), Duration::ZERO);
     }
 
-    /// A VM joins or comes back: it is ramped up.
+    /// Adds a VM that joins or comes back: its load is ramped up.
     pub fn join(&mut self, range: usize, vm: &str, data_centre: &str, slots: u32, now: Duration) {
         self.add(range, vm, data_centre, slots, Ramp::join(self.tuning.doubling_time, now), now);
     }
 
-    /// A VM is lost: the connection to it broke, or it is no longer listed. It is remembered, so that one that flaps is seen as such,
-    /// until [`Table::forget`].
+    /// Marks a VM as lost: the connection to it broke, or it is no longer listed. Its state is kept until
+    /// [`Table::forget`], so that a VM that flaps is recognised.
     pub fn gone(&mut self, vm: &str, now: Duration) {
         if let Some((range, i)) = self.find(vm) {
             let r = &mut self.ranges[range].list[i];
@@ -167,7 +166,7 @@
         }
     }
 
-    /// Drops what is remembered of a VM.
+    /// Drops the state of a VM.
     pub fn forget(&mut self, vm: &str, now: Duration) {
         for range in &mut self.ranges {
             range.list.retain(|r| r.vm != vm);
@@ -175,7 +174,7 @@
         }
     }
 
-    /// An agent's report has come in. True when it ejects the replica.
+    /// Applies an agent's report. Returns true when this ejects the replica.
     pub fn report(&mut self, vm: &str, load: &Load, now: Duration) -> bool {
         let Some((range, i)) = self.find(vm) else {
             return false;
@@ -196,14 +195,14 @@
         ejected
     }
 
-    /// A request of this router was sent to a VM, for each VM of its chain.
+    /// Records that a request of this router was sent to a VM; to be called for each VM of its chain.
     pub fn started(&mut self, vm: &str, now: Duration) {
         if let Some((range, i)) = self.find(vm) {
             self.ranges[range].list[i].change(1, now);
         }
     }
 
-    /// It has ended there. True when this ejects the replica.
+    /// Records that a request has ended there. Returns true when this ejects the replica.
     pub fn ended(&mut self, vm: &str, end: End, now: Duration) -> bool {
         let Some((range, i)) = self.find(vm) else {
             return false;
@@ -223,14 +222,14 @@
         }
     }
 
-    /// The VM refused a request for want of slots, after [`Table::started`].
+    /// Records that the VM refused a request for want of slots, after [`Table::started`].
     pub fn refused(&mut self, vm: &str, now: Duration) {
         if let Some((range, i)) = self.find(vm) {
             self.ranges[range].list[i].refused(now);
         }
     }
 
-    /// What could start now.
+    /// Returns the capacity for requests that could start now.
     pub fn room(&self, routers: u32, now: Duration) -> Room {
         let free = |range: &Range| range.list.iter().map(|r| r.free(now)).sum();
         let slots = |range: &Range| range.list.iter().map(|r| r.limit(now)).sum();
@@ -239,19 +238,19 @@
         Room { free, slots, routers }
     }
 
-    /// Usual time of one token through the whole chain, links not counted; for [`Cost::run`].
+    /// Returns the usual time of one token through the whole chain, links not counted; for [`Cost::run`].
     pub fn step(&self) -> Duration {
         let sum: f64 = self.ranges.iter().map(Range::mean_step).sum();
         Duration::from_secs_f64(sum / 1e6)
     }
 
-    /// Standing of a VM.
+    /// Returns the state of a VM.
     pub fn state(&self, vm: &str, now: Duration) -> Option<State> {
         self.find(vm).map(|(range, i)| self.ranges[range].list[i].health.state(now))
     }
 
-    /// Chooses the chain. `None` when a range has no free slot, or when the free ones suit each other
-    /// badly and have been free for less than [`crate::chain::MAX_HOLD`]: the request has to wait.
+    /// Chooses the chain. Returns `None` when a range has no free slot, or when the free ones match badly and have
+    /// been free for less than [`crate::chain::MAX_HOLD`]: the request has to wait.
     pub fn chain(&self, request: &Request, now: Duration, rng: &mut impl Rng) -> Option<Chain> {
         let choice =
             Choice { ranges: &self.ranges, links: &self.links, tuning: &self.tuning, request, now };
@@ -262,8 +261,8 @@
         Some(self.ranges.iter().zip(&lists).map(names).collect())
     }
 
-    /// In how many ranges a replica that is likely to have the prefix cached has a free slot;
-    /// for [`crate::queue::Queue::next_by`].
+    /// Returns the number of ranges in which a replica that is likely to have the prefix cached has a free slot; for
+    /// [`crate::queue::Queue::next_by`].
     pub fn cached_ranges(&self, prefix: Prefix, now: Duration) -> u32 {
         let free = |range: &&Range| {
             range.homes(prefix, |r| r.limit(now) > 0).any(|i| range.list[i].free(now) > 0)
@@ -271,7 +270,7 @@
         self.ranges.iter().filter(free).count() as u32
     }
 
-    /// Bytes of state.
+    /// Returns the bytes of state.
     pub fn bytes(&self) -> usize {
         self.ranges.iter().flat_map(|range| &range.list).map(Replica::bytes).sum()
     }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -1,27 +1,26 @@
 //! Weighted fair shares of slot time among workspaces.
 //!
-//! Load pattern: one workspace sends most of the requests. In a queue in order of arrival
-//! every other workspace waits behind that flood and loses its deadlines.
+//! Load pattern: one workspace sends most of the requests. In a queue in order of arrival every other workspace waits
+//! behind that flood and misses its deadlines.
 //!
-//! Each workspace has a virtual time that grows by the slot time it was given divided
-//! by its weight (start-time fair queueing). Those within [`QUANTUM`] of the least served
-//! one that waits go by priority and then by the earlier virtual finish, so that
-//! priority can't be used to take another's share. Only workspaces that wait are
-//! compared: unused share is lent, never left idle. A workspace that comes back after
-//! a pause starts at the virtual time then served: it neither saves up what
-//! it didn't use nor pays for what was lent to it.
+//! Each workspace has a virtual time that grows by the slot time it was given divided by its weight (start-time fair
+//! queueing). Those within [`QUANTUM`] of the least served waiting one are ordered by priority and then by the
+//! earlier virtual finish, so that priority can't be used to take another workspace's share. Only workspaces with
+//! waiting requests are compared: unused share is lent, never left idle. A workspace that returns after a pause
+//! starts at the virtual time then served: it neither accumulates what it didn't use nor pays for what was lent to
+//! it.
 //!
-//! A first version kept the system's virtual time as a clock of its own (WF2Q+). Charges are corrected
-//! when a request ends early or was refused by the agents; the clock's weren't, ran ahead,
-//! and put those that came back behind the flood (Jain index 0.22 under many refusals).
+//! The system's virtual time is not kept as a separate clock (WF2Q+). Charges are corrected when a request ends early
+//! or was refused by the agents; such a clock isn't corrected, runs ahead, and puts returning workspaces behind the
+//! flood (Jain index 0.22 under many refusals).
 
-/// Slot time in seconds, for a weight of one, by which a workspace may be ahead of the least served one
-/// and still go before it by priority or shortness. About one middling draft: less leaves
-/// priority no effect, more is a debt that the others wait for.
+/// Slot time in seconds, for a weight of one, by which a workspace may be ahead of the least served one and still go
+/// before it by priority or shortness. About one draft of medium length: with less, priority has no effect; more is a
+/// debt that the others wait for.
 pub const QUANTUM: f64 = 10.0;
 
-/// Workspaces compared by how well their next request suits the free slots. More find better
-/// matches, but each costs a hash for each replica.
+/// Number of workspaces compared by how well their next request suits the free slots. More find better matches, but
+/// each costs a hash for each replica.
 pub const MAX_COMPARED: usize = 8;
 
 /// State of a workspace in bytes, without its name's text and its waiting requests.
@@ -34,29 +33,29 @@
     pub workspace: String,
     /// Its weight; 0 counts as 1.
     pub weight: u32,
-    /// Requests it may have waiting in this queue.
+    /// Largest number of its requests that may wait in this queue.
     pub limit: u32,
 }
 
-/// What is known of one workspace.
+/// State of one workspace.
 #[derive(Debug, Clone)]
 pub(crate) struct Workspace {
     pub(crate) share: Share,
     /// Virtual start of its next request, in seconds of slot time for a weight of one.
     pub(crate) start: f64,
-    /// Slot time that waits, in seconds.
+    /// Slot time of its waiting requests, in seconds.
     pub(crate) backlog: f64,
-    /// How far behind the order of its queue it was when it last started one, in seconds:
-    /// the time less the request's place in the order. `None` when nothing waits.
+    /// How far behind the order of its queue it was when it last started a request, in seconds: the time less the
+    /// request's place in the order. `None` when nothing waits.
     pub(crate) lag: Option<f64>,
-    /// Run in seconds by weight, and priority, of its next request, kept here so that a choice among many
-    /// workspaces reads one list.
+    /// Run in seconds by weight, and priority, of its next request, kept here so that a choice among many workspaces
+    /// reads one list.
     pub(crate) next: Option<(f64, u8)>,
     /// Requests that run.
     pub(crate) running: u32,
 }
 
-/// What the next request of a workspace looks like, for [`Clock::pick`].
+/// The next request of a workspace, for [`Clock::pick`].
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Head {
     pub(crate) index: usize,
@@ -88,8 +87,8 @@
 }
 
 impl Clock {
-    /// The workspace to serve, among the heads of those that wait; `affinity` tells for the first
-    /// [`MAX_COMPARED`] of equal right how well each suits the free slots.
+    /// Returns the workspace to serve, among the heads of those with waiting requests; `affinity` returns, for the
+    /// first [`MAX_COMPARED`] of equal right, how well each suits the free slots.
     pub(crate) fn pick(
         &mut self,
         heads: impl Iterator<Item = Head> + Clone,
@@ -118,12 +117,13 @@
         best.map(|(_, h)| h.index)
     }
 
-    /// A workspace without waiting requests gets one: it may not use what it didn't use before.
+    /// Moves a workspace that had no waiting requests to the present virtual time: it may not use what it didn't use
+    /// before.
     pub(crate) fn activate(&self, workspace: &mut Workspace) {
         workspace.start = workspace.start.max(self.now);
     }
 
-    /// A request of `run` seconds starts.
+    /// Charges a workspace for a request of `run` seconds that starts.
     pub(crate) fn charge(&mut self, workspace: &mut Workspace, run: f64) {
         workspace.start += run / workspace.weight();
     }
--- a/crates/policy/src/shortage.rs
+++ b/crates/policy/src/shortage.rs
@@ -1,31 +1,33 @@
-//! When those come back that find all places taken.
+//! When callers are to come back that find all places taken.
 //!
-//! Load pattern: servers are lost for ten seconds while a burst comes, and three requests in ten find no place.
-//! If all of them are told to come back in a second and a half, they come back to a system that is as
-//! full as before, beside the new ones, and are refused for good. Where only a few are refused,
-//! a place is free by then, and a longer wait would be lost time.
+//! Load pattern: servers are lost for ten seconds while a burst comes, and three requests in ten find no place. If
+//! all of them are to come back in a second and a half, they find the system as full as before, compete with new
+//! requests, and are refused for good. Where only a few are refused, a place is free by then, and a longer wait would
+//! be lost time.
 //!
-//! Each router tells callers by what it saw itself: the larger the share that it had to refuse lately, the
-//! longer the time over which those who were refused are spread.
+//! Each router decides by the requests it served itself: the larger the ratio that it had to refuse lately, the
+//! longer the time over which refused callers are spread.
 
 use std::time::Duration;
 
-/// Time to come back when hardly any are refused: about as long as a request runs.
+/// Time to come back when hardly any requests are refused: about as long as a request runs.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time to come back when most are refused. Callers have some twenty seconds and come back within a third.
+/// Time to come back when most requests are refused. Callers have some twenty seconds and come back within a third of
+/// that.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(6);
 
-/// Time in which what was seen counts for a third of what it did.
+/// Time constant of the decay: after it a request counts for a third of what it did.
 const DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// Part of the requests that may be refused until the longest time is told.
+/// Ratio of refused requests from which on the longest time is given.
 const REFUSED_RATIO_AT_MAX: f64 = 0.6;
 
-/// Requests that are taken for placed beside those seen, so that one refusal of a quiet router says little.
+/// Requests assumed to have found a place beside those counted, so that one refusal of an idle router has little
+/// effect.
 const PRIOR_PLACED: f64 = 5.0;
 
-/// Requests that found a place or none lately, the newest counting most.
+/// Requests that found a place or none lately, with exponential decay.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Shortage {
     placed: f64,
@@ -34,13 +36,13 @@
 }
 
 impl Shortage {
-    /// Notes a request that found a place.
+    /// Records a request that found a place.
     pub fn placed(&mut self, now: Duration) {
         self.decay(now);
         self.placed += 1.0;
     }
 
-    /// Notes a request that found none; the time after which it is to come back.
+    /// Records a request that found none; returns the time after which it is to come back.
     ///
     /// ```
     /// # use std::time::Duration;
--- a/crates/policy/src/suspicion.rs
+++ b/crates/policy/src/suspicion.rs
@@ -1,19 +1,19 @@
-//! Whether a backend server that did not answer is used.
+//! Suspicion of a backend server that did not answer.
 //!
-//! Load pattern: a server dies without a word. The list of servers drops it after three
-//! heartbeats; until then each router would send it its share of the work, all of it lost.
-//! A server that refuses a connection or stays silent is passed over at once, and asked again
-//! after a pause that doubles, so that one that flaps takes few requests with it.
+//! Load pattern: a server dies without closing its connections. The list of servers drops it after three heartbeats;
+//! until then each router would send it its share of the work, all of it lost. A server that refuses a connection or
+//! does not answer is passed over at once, and tried again after a pause that doubles, so that one that flaps takes
+//! few requests with it.
 
 use std::time::Duration;
 
-/// First pause. A crashed server needs seconds to come back, and a lost packet a fifth of one.
+/// First pause. A crashed server needs seconds to come back, and a lost packet a fifth of a second.
 pub const MIN_PAUSE: Duration = Duration::from_millis(500);
 
 /// Longest pause, about as long as the list of servers takes to drop a dead one.
 pub const MAX_PAUSE: Duration = Duration::from_secs(4);
 
-/// What is believed of one server.
+/// Suspicion of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Suspicion {
     until: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl Suspicion {
-    /// Notes that it did not answer.
+    /// Records that the server did not answer.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -37,7 +37,7 @@
     /// assert!(!suspicion.holds(now));
     /// ```
     pub fn record_failure(&mut self, now: Duration) {
-        // Requests that were under way together fail together: they count once.
+        // Requests that were in progress together fail together: they count once.
         if self.holds(now) {
             return;
         }
@@ -49,8 +49,9 @@
         self.unresolved = true;
     }
 
-    /// Passes over it for the first pause, as others say that it failed them. Only what this router sees itself makes
-    /// pauses longer: a server that declines some requests of many routers would else get none for seconds.
+    /// Passes over the server for the first pause, as other routers report that it failed. Only failures that this
+    /// router sees itself make pauses longer: a server that declines some requests of many routers would otherwise
+    /// get none for seconds.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -64,19 +65,19 @@
         self.until = self.until.max(now + MIN_PAUSE);
     }
 
-    /// Notes an answer. The next failure within a while still leads to a longer pause: a server that
-    /// goes down and up by turns answers in between.
+    /// Records an answer. The next failure within a while still leads to a longer pause, as a server that alternates
+    /// between down and up answers in between.
     pub fn clear(&mut self) {
         self.until = Duration::ZERO;
         self.unresolved = false;
     }
 
-    /// Whether it is passed over now.
+    /// Returns whether the server is passed over now.
     pub fn holds(&self, now: Duration) -> bool {
         now < self.until
     }
 
-    /// Whether it failed and has not answered since.
+    /// Returns whether the server failed and has not answered since.
     pub fn is_unresolved(&self) -> bool {
         self.unresolved
     }
--- a/crates/policy/src/tenure.rs
+++ b/crates/policy/src/tenure.rs
@@ -1,27 +1,29 @@
-//! When the holder of a seat that it can't use gives it up.
+//! When the holder of a seat that it can't use gives the seat up.
 //!
-//! Load pattern: the store answers a router's calls to stay in the group, and refuses what it writes down or does not answer.
-//! While it holds the first seat nobody orders servers to hold layers, though another router might be able to. If no router
-//! is, each would pass the seat on to the next one, and every change of the group makes all of them ask again.
+//! Load pattern: the store accepts a router's membership calls, but rejects or does not answer its writes. While that
+//! router holds the first seat, and so is the leader, no orders are given to load layers, though another router might
+//! be able to give them. If no router is able to, each would pass the seat on to the next one, and every change of
+//! the group makes all routers send requests again.
 //!
-//! So a holder gives the seat up after two seconds without success, stays out of the group for a moment so that another one
-//! gets it, and tries longer the next time.
+//! So a holder gives the seat up after two seconds without success, stays out of the group for a short time so that
+//! another router gets it, and keeps it longer the next time.
 
 use std::time::Duration;
 
 /// Time without success after which a seat is given up.
 pub const MIN_IDLE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time for which a router that gave a seat up stays out of the group: the others ask each second and a half at the latest.
+/// Time for which a router that gave a seat up stays out of the group: the others ask for seats each second and a
+/// half at the latest.
 const WITHDRAWAL_TIME: Duration = Duration::from_secs(2);
 
-/// Longest time without success for one that has given the seat up several times.
+/// Longest time without success for a router that has given the seat up several times.
 const MAX_IDLE_LIMIT: Duration = Duration::from_secs(32);
 
-/// How a router gets on with the seat that it holds.
+/// State of a router as the holder of a seat.
 #[derive(Debug)]
 pub struct Tenure {
-    /// Since when it has had no success.
+    /// Since when it has held the seat without success.
     since: Option<Duration>,
     /// Time without success after which it gives the seat up.
     idle_limit: Duration,
@@ -36,17 +38,18 @@
 }
 
 impl Tenure {
-    /// Notes that the router could use the seat.
+    /// Records that the router could use the seat.
     pub fn succeeded(&mut self) {
         *self = Tenure::default();
     }
 
-    /// Notes that it does not hold the seat.
+    /// Records that the router does not hold the seat.
     pub fn released(&mut self) {
         self.since = None;
     }
 
-    /// Notes that it could not use the seat; whether it gives it up to `others`, if there are any.
+    /// Records that the router could not use the seat. Returns whether it gives the seat up to other routers, if
+    /// there are any (`others`).
     ///
     /// ```
     /// # use std::time::Duration;
@@ -57,7 +60,7 @@
     /// assert!(!tenure.failed(start + MIN_IDLE_LIMIT, false));
     /// assert!(tenure.failed(start + MIN_IDLE_LIMIT, true));
     /// assert!(tenure.is_withdrawn(start + MIN_IDLE_LIMIT));
-    /// // The next time it tries longer, as the others may fare no better.
+    /// // The next time it keeps the seat longer, as the others may not be able to use it either.
     /// let again = start + 4 * MIN_IDLE_LIMIT;
     /// assert!(!tenure.is_withdrawn(again));
     /// assert!(!tenure.failed(again, true));
@@ -74,12 +77,12 @@
         true
     }
 
-    /// For how long it has held the seat without success.
+    /// Returns how long it has held the seat without success.
     pub fn idle(&self, now: Duration) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
-    /// Whether it stays out of the group.
+    /// Returns whether it stays out of the group.
     pub fn is_withdrawn(&self, now: Duration) -> bool {
         self.withdrawn_until.is_some_and(|until| now < until)
     }
--- a/crates/policy/src/tuning.rs
+++ b/crates/policy/src/tuning.rs
@@ -1,7 +1,7 @@
 //! The thresholds in one place, so that a bench can sweep them.
 //!
-//! Daemons use the defaults, which are the constants of the modules. Why each is what it is
-//! stands at the constant; the sweeps stand in docs/design/decisions.md.
+//! Daemons use the defaults, which are the constants of the modules. The reason for each value is given at its
+//! constant; the sweeps are in docs/design/decisions.md.
 
 use std::time::Duration;
 
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -1,13 +1,13 @@
-//! How often work is sent again, with a budget that all routers share.
+//! The retry budget of a service, which all routers share.
 //!
-//! Load pattern: a backend server that carries a quarter of the running work dies, or a service
-//! answers slowly, and every router sends all of it again at once. The repeats are load
-//! themselves, so a slow service stays slow (a retry storm).
+//! Load pattern: a backend server that carries a quarter of the running work dies, or a service answers slowly, and
+//! every router sends all of that work again at once. The retries are load themselves, so a slow service stays slow
+//! (a retry storm).
 //!
-//! A service may get, in any window, repeats for a share of its requests and a fixed number beside.
-//! Each router's part is that share of its own requests and an equal part of the fixed number. What it
-//! does not need it lends to others ([`crate::loan`]): a loan counts as its own repeat, so the sum stays within
-//! the common budget whoever sends them and whatever is lost on the way.
+//! In any window a service may receive retries for a ratio of its requests plus a fixed number. A router's
+//! share is that ratio of its own requests and an equal part of the fixed number. What it does not need it lends to
+//! others ([`crate::loan`]). A loan counts as a retry of the lender, so the sum stays within the common budget
+//! whichever router sends them and whatever is lost in transit.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -16,105 +16,106 @@
 
 use crate::loan::Loan;
 
-/// Part of the budget that is used. The rest is for routers that have just started.
+/// Ratio of the budget that is used. The rest is for routers that have just started.
 pub const USABLE_RATIO: f64 = 0.94;
 
-/// Part of its own part that a router uses while the process before it may have used all of it.
+/// Ratio of its share that a router uses while its predecessor may have used all of the share.
 pub const RATIO_AFTER_UNKNOWN_USE: f64 = 0.03;
 
-/// Part of its own part that a router uses at most without telling the others, so that those that start know of what
-/// was used before.
+/// Ratio of its share from which on a router reports its use, so that routers that start know of it.
 pub const HEAVY_USE_RATIO: f64 = 0.4;
 
-/// Part of its own part that a router uses where the process before it did not use more than [`HEAVY_USE_RATIO`].
+/// Ratio of its share that a router uses while its predecessor did not use more than [`HEAVY_USE_RATIO`].
 const RATIO_AFTER_LIGHT_USE: f64 = 0.5;
 
-/// Longest time from when a repeat is counted until it arrives, also one that was lent. Windows
-/// are counted where repeats arrive.
+/// Longest time from when a retry is counted until it arrives, also for one that was lent. Windows are counted where
+/// retries arrive.
 pub const MAX_DELIVERY_DELAY: Duration = Duration::from_secs(1);
 
-/// Part of a router's part that only streams that have begun may use. A request that has not begun can be refused and
-/// come back; a caller that has half a text can't.
+/// Ratio of a router's share that only streams that have begun may use. A request that has not begun can be refused
+/// and sent again by its caller; a caller that has part of an answer can't do so.
 pub const RESERVED_RATIO: f64 = 0.25;
 
-/// Part of a standard deviation by which requests are taken for fewer than were counted in a single window.
+/// Part of a standard deviation by which the requests counted in a single window are taken to be fewer.
 const COUNT_MARGIN: f64 = 0.5;
 
-/// Shortest time after which a router that has nothing left to lend is asked again, for each of all routers: if all are
-/// short, each is asked some thirty times a second.
+/// Shortest time after which a router that has nothing left to lend is asked again, for each router of the group: if
+/// all are short, each is asked some thirty times a second.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Longest time after which a router that had nothing left is asked again, however long its repeats still count.
+/// Longest time after which a router that had nothing left is asked again, however long its retries still count.
 const MAX_ASK_INTERVAL: Duration = Duration::from_millis(800);
 
-/// What a repeat is for.
+/// What a retry is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Need {
-    /// An answer of which the caller has a part.
+    /// An answer of which the caller has received a part.
     Begun,
     /// A request that can still be refused.
     New,
 }
 
-/// What is known of the process before this one, which used repeats in the same window.
+/// What is known of the router's previous process, whose retries count in the same window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Predecessor {
     /// There was none: all routers have started for the first time.
     First,
-    /// No router has told of heavy use.
+    /// No router has reported heavy use.
     Light,
     /// It handed over what it used.
     Told,
-    /// It may have used all of its part.
+    /// It may have used all of its share.
     #[default]
     Unknown,
 }
 
 impl Predecessor {
-    /// Whether all is known that counts of it in a process which started `now` ago, in windows of that length.
+    /// Returns whether everything about it that counts is known to a process which started `now` ago, in windows of
+    /// length `window`.
     pub fn is_known(self, now: Duration, window: Duration) -> bool {
         matches!(self, Predecessor::First | Predecessor::Told) || now >= window + MAX_DELIVERY_DELAY
     }
 }
 
-/// What counts of a process that ends in the windows of the next one. Ages are in milliseconds before its end, the
-/// oldest first.
+/// What a process that ends hands over to the next one, in whose windows it counts. Ages are in milliseconds before
+/// its end, the oldest first.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// Requests of callers.
     pub requests: Vec<u32>,
-    /// Repeats that were sent or lent.
+    /// Retries that were sent or lent.
     pub used: Vec<u32>,
-    /// Whether requests of two whole windows are known.
+    /// Whether the requests of two whole windows are known.
     pub settled: bool,
 }
 
-/// Repeats of one service that one router may send or lend.
+/// The share of one router in the retry budget of one service.
 #[derive(Debug, Clone)]
 pub struct Budget {
     ratio: f64,
     slack: f64,
     window: Duration,
     predecessor: Predecessor,
-    /// Part of a repeat from which on this router's part is rounded up, once it knows the others.
+    /// Fraction of a retry from which on this router's share is rounded up; none until the other routers are known.
     phase: Option<f64>,
-    /// Until when each request counts, which is for two windows, and when those of two windows are known.
+    /// Until when each request counts, which is for two windows; and when the requests of two whole windows are
+    /// known.
     requests: VecDeque<Duration>,
     settled: Option<Duration>,
-    /// Until when each repeat counts that was sent or lent.
+    /// Until when each retry counts that was sent or lent.
     used: VecDeque<Duration>,
-    /// Whether the rest was handed over.
+    /// Whether the rest was handed over to the next process.
     closed: bool,
 }
 
 impl Budget {
-    /// A budget of `ratio` of the requests and `slack` beside, in each `window`.
+    /// Creates a budget of `ratio` of the requests plus `slack`, in each `window`.
     ///
     /// ```
     /// # use std::time::Duration;
     /// let mut budget = policy::window::Budget::new(0.2, 10.0, Duration::from_secs(10));
     /// let now = Duration::from_secs(100);
-    /// // Five routers share ten repeats: one each, less the margin, and a share of requests.
+    /// // Five routers share ten retries: one each, less the margin, and a ratio of the requests.
     /// assert!(budget.take(now, 5));
     /// assert!(!budget.take(now, 5));
     /// (0..10).for_each(|_| budget.record_request(now));
@@ -136,18 +137,18 @@
         }
     }
 
-    /// Notes what is known of the process before this one.
+    /// Sets what is known of the previous process.
     pub fn set_predecessor(&mut self, predecessor: Predecessor) {
         self.predecessor = predecessor;
     }
 
-    /// Notes that the others are known. Parts of a repeat are rounded up where this router is the `rank`th of `routers`, so that what all routers round up
-    /// and down is even.
+    /// Sets the rank of this router among `routers` routers once these are known. Shares are rounded up or down by
+    /// rank, so that the rounding of all routers cancels out.
     pub fn set_rank(&mut self, rank: u32, routers: u32) {
         self.phase = Some(1.0 - f64::from(rank) / f64::from(routers.max(1)));
     }
 
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now: Duration) {
         expire(&mut self.requests, now);
         let until = now + self.window * 2;
@@ -155,8 +156,8 @@
         self.settled.get_or_insert(until);
     }
 
-    /// Requests in a window. By chance each router has more of them at some moment than on average, but not all routers
-    /// at the same one, so what a single window shows counts as far as the one before it agrees.
+    /// Returns the usual number of requests in a window. Each router sometimes has more than its mean by chance, but
+    /// not all routers at the same time, so the newest window counts only as far as the one before it agrees.
     fn usual_requests(&mut self, now: Duration) -> f64 {
         expire(&mut self.requests, now);
         let before = self.requests.partition_point(|until| *until < now + self.window);
@@ -167,26 +168,26 @@
         }
     }
 
-    /// Repeats in a window that are the part of one of `routers` routers.
+    /// Returns the share of one of `routers` routers, in retries in a window.
     pub fn share(&mut self, now: Duration, routers: u32) -> u32 {
         let even = self.slack / f64::from(routers.max(1));
         let share =
             USABLE_RATIO * (self.ratio * self.usual_requests(now) + even) * self.usable_ratio(now);
         match self.phase {
             Some(phase) => share as u32 + u32::from(share.fract() >= phase),
-            // A router that knows of no others may still repeat one thing.
+            // A router that knows of no others may still send one retry.
             None => (share as u32).max(1),
         }
     }
 
-    /// Repeats that may still be sent now by one of `routers` routers.
+    /// Returns the retries that one of `routers` routers may still send now.
     pub fn left(&mut self, now: Duration, routers: u32) -> u32 {
         let share = self.share(now, routers);
         expire(&mut self.used, now);
         if self.closed { 0 } else { share.saturating_sub(self.used.len() as u32) }
     }
 
-    /// The same for one kind of need.
+    /// Returns the retries that are left for one kind of need.
     pub fn left_for(&mut self, need: Need, now: Duration, routers: u32) -> u32 {
         let reserved = match need {
             Need::Begun => 0,
@@ -195,8 +196,9 @@
         self.left(now, routers).saturating_sub(reserved)
     }
 
-    /// Part of its part that a router uses whose process started `now` ago. If it used all of it while the process before
-    /// did so in the same window, routers that are restarted in turn would use their parts twice.
+    /// Returns the ratio of its share that a router uses whose process started `now` ago. If it used all of the share
+    /// after its predecessor did so in the same window, routers that are restarted one after the other would use
+    /// their shares twice.
     fn usable_ratio(&self, now: Duration) -> f64 {
         match self.predecessor {
             predecessor if predecessor.is_known(now, self.window) => 1.0,
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Whether so much of the part of one of `routers` routers is used that the others have to know.
+    /// Returns whether one of `routers` routers has used so much of its share that the others have to know.
     pub fn is_heavy(&mut self, now: Duration, routers: u32) -> bool {
         let share = self.share(now, routers);
         expire(&mut self.used, now);
@@ -215,30 +217,30 @@
         used > 0 && f64::from(used) >= HEAVY_USE_RATIO * f64::from(share)
     }
 
-    /// Takes one repeat, if one is left.
+    /// Takes one retry, if one is left.
     pub fn take(&mut self, now: Duration, routers: u32) -> bool {
         self.take_for(Need::Begun, now, routers)
     }
 
-    /// Takes one repeat for a need, if one is left for it.
+    /// Takes one retry for a need, if one is left for it.
     pub fn take_for(&mut self, need: Need, now: Duration, routers: u32) -> bool {
         self.lend(need, 1, now, routers).lent == 1
     }
 
-    /// Takes up to `want` repeats at once, for another router.
+    /// Takes up to `want` retries at once, for another router.
     pub fn lend(&mut self, need: Need, want: u32, now: Duration, routers: u32) -> Loan {
         let lent = want.min(self.left_for(need, now, routers));
         let until = now + self.window + MAX_DELIVERY_DELAY;
         self.used.extend((0..lent).map(|_| until));
-        // Requests may raise this part before the oldest use is past.
+        // New requests may raise this share before the oldest use has left the window.
         let retry_after =
             self.used.front().map_or(Duration::ZERO, |until| until.saturating_sub(now));
         let retry_after = retry_after.min(MAX_ASK_INTERVAL).max(MIN_ASK_INTERVAL * routers);
         Loan { lent, retry_after: if lent < want { retry_after } else { Duration::ZERO } }
     }
 
-    /// Sends and lends nothing more, and says what counts for the next process; none if what the process before this
-    /// one used is not known and still counts.
+    /// Stops sending and lending, and returns what counts for the next process; none if the use of the predecessor is
+    /// not known and still counts.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -268,7 +270,7 @@
         })
     }
 
-    /// Counts what the process before this one handed over, which ended `gap` before this one started.
+    /// Counts what the previous process handed over, which ended `gap` before this one started.
     pub fn take_over(&mut self, handover: &Handover, gap: Duration) {
         let untils = |ages: &[u32], counts: Duration| -> Vec<Duration> {
             let until = |age: &u32| counts.checked_sub(gap + Duration::from_millis((*age).into()));
@@ -282,10 +284,10 @@
     }
 }
 
-/// How many routers share a budget: the most that were counted for some time.
+/// The number of routers that share a budget: the largest count within some time.
 ///
-/// A router that is cut off from the others is no longer counted, but goes on with its own
-/// part. If the rest divided its part among them at once, more than the whole would be used.
+/// A router that is cut off from the others is no longer counted but keeps using its own share. If the others divided
+/// that share among them at once, more than the whole budget would be used.
 #[derive(Debug, Clone)]
 pub struct Routers {
     assumed: u32,
@@ -294,7 +296,7 @@
 }
 
 impl Routers {
-    /// `assumed` routers until the first count; counts hold for `keep`.
+    /// Assumes `assumed` routers until the first count; counts are kept for `keep`.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -310,9 +312,9 @@
         Routers { assumed, keep, counts: VecDeque::new() }
     }
 
-    /// Notes a count.
+    /// Records a count.
     pub fn record(&mut self, now: Duration, routers: u32) {
-        // Smaller or equal counts before this one no longer matter.
+        // Earlier counts that are smaller or equal no longer matter.
         while self.counts.back().is_some_and(|(_, count)| *count <= routers) {
             self.counts.pop_back();
         }
@@ -322,10 +324,10 @@
         }
     }
 
-    /// The most routers counted lately.
+    /// Returns the largest count that is still kept.
     pub fn count(&self, now: Duration) -> u32 {
-        let lately = self.counts.iter().find(|(at, _)| *at + self.keep >= now);
-        lately.or(self.counts.back()).map_or(self.assumed, |(_, count)| *count)
+        let kept = self.counts.iter().find(|(at, _)| *at + self.keep >= now);
+        kept.or(self.counts.back()).map_or(self.assumed, |(_, count)| *count)
     }
 }
 
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -1,18 +1,17 @@
 //! How long a request will hold its slots, from its tokens.
 //!
-//! Load pattern: a few requests of thousands of tokens among many of a few dozen.
-//! Counted as requests, the long ones are nearly free; a workspace that sends only
-//! long ones takes most of the fleet, and every estimate of a wait is wrong by the
-//! ratio of the lengths. So all decisions count slot time: what a slot costs is the
-//! time it is held, and that follows from prompt and output tokens.
+//! Load pattern: a few requests of thousands of tokens among many of a few dozen. Counted as requests, the long ones
+//! are nearly free; a workspace that sends only long ones takes most of the fleet, and every estimate of a wait is
+//! wrong by the ratio of the lengths. So all decisions count slot time: the cost of a slot is the time it is held,
+//! and that follows from prompt and output tokens.
 
 use std::time::Duration;
 
 /// Prompt positions an engine runs in the time of one step of a generated token.
 ///
-/// Prompt positions are known in advance and go through a layer together, so one
-/// costs a small part of a generated token. 16 is careful: engines reach more, and an
-/// estimate that is too long refuses a little early while one that is too short breaks deadlines.
+/// Prompt positions are known in advance and go through a layer together, so one costs a small part of a generated
+/// token. 16 is conservative: engines reach more, and an estimate that is too long refuses a little early while one
+/// that is too short breaks deadlines.
 pub const PREFILL: u32 = 16;
 
 /// Tokens of a request.
@@ -20,12 +19,12 @@
 pub struct Cost {
     /// Tokens of the prompt, estimated by the router (about a token for four bytes).
     pub prompt: u32,
-    /// Tokens to generate at most.
+    /// Largest number of tokens to generate.
     pub output: u32,
 }
 
 impl Cost {
-    /// Steps of the whole chain, with the prompt in parts of [`PREFILL`].
+    /// Returns the steps of the whole chain, with the prompt in parts of [`PREFILL`].
     ///
     /// ```
     /// use policy::work::Cost;
@@ -35,7 +34,7 @@
         self.prompt.div_ceil(PREFILL).saturating_add(self.output)
     }
 
-    /// Time the request holds its slots when a step of the whole chain takes `step`.
+    /// Returns the time for which the request holds its slots when a step of the whole chain takes `step`.
     ///
     /// ```
     /// use std::time::Duration;
