--- a/crates/policy/benches/cost/mod.rs
+++ b/crates/policy/benches/cost/mod.rs
@@ -1,4 +1,4 @@
-//! Time of one decision and bytes of state, at today's size and at the target's.
+//! Time of one decision and bytes of state, at the present size of a fleet and at its target size.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -32,7 +32,7 @@
 const TURNS: u32 = 20_000;
 const PARTS: u32 = 10;
 
-/// Requests that wait in each workspace.
+/// Waiting requests of each workspace.
 const WAITING: usize = 3;
 
 /// Prints the table.
@@ -143,7 +143,7 @@
 }
 
 fn time_of(turns: u32, mut run: impl FnMut()) -> f64 {
-    // The least of several parts: what other processes take of the machine is not the decision's.
+    // The least of several parts, as other processes on the machine lengthen the rest.
     let part = |run: &mut dyn FnMut()| {
         let start = Instant::now();
         (0..turns / PARTS).for_each(|_| run());
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Prints what callers get under each load beside the baselines, sweeps of the
-//! thresholds, and what a decision costs.
+//! Prints what callers get under each load beside the baselines, sweeps of the thresholds, and the cost of a
+//! decision.
 //!
 //!     cargo bench -p policy                 # everything
 //!     cargo bench -p policy -- loads        # only the loads and baselines
@@ -17,11 +17,11 @@
 use sim::result::Result;
 use sim::variant::{self, Tune, Variant};
 
-/// Each figure of a load is the mean over these seeds; of a sweep over the first [`AT_ONCE`].
+/// Each figure of a load is the mean over these seeds; of a sweep over the first [`PARALLEL_RUNS`].
 const SEEDS: [u64; 6] = [1, 2, 3, 4, 5, 6];
 
-/// Runs played at once.
-const AT_ONCE: usize = 3;
+/// Simulations that run at the same time.
+const PARALLEL_RUNS: usize = 3;
 
 fn main() {
     let asked = |part: &str| {
@@ -39,7 +39,7 @@
     }
 }
 
-/// Every load under the policy and each baseline.
+/// Runs every load under the policy and each baseline.
 fn loads() {
     println!("\nloads, mean of seeds {SEEDS:?}");
     header("policy");
@@ -48,32 +48,35 @@
         let lost = !load.faults.is_empty();
         let plain = |v: &Variant| v.objective == Objective::Throughput || lost;
         for variant in variant::ALL.into_iter().filter(|v| (v.aged || late) && plain(v)) {
-            row(load.name, variant.name, &play(&load, variant, &SEEDS));
+            row(load.name, variant.name, &simulate(&load, variant, &SEEDS));
         }
     }
 }
 
-/// Each threshold on the load that it is for: the value kept between its neighbours.
+/// Sweeps each threshold on the load that it is for: the default between its neighbours.
 fn sweeps() {
-    println!("\nsweeps, mean of seeds {:?}; the middle value is the one kept", &SEEDS[..AT_ONCE]);
+    println!(
+        "\nsweeps, mean of seeds {:?}; the middle value is the default",
+        &SEEDS[..PARALLEL_RUNS]
+    );
     header("threshold");
     for (load, tries) in SWEEPS {
         for (name, tune) in tries {
             let variant = Variant { tune, ..variant::POLICY };
-            row(load, name, &play(&load::named(load), variant, &SEEDS[..AT_ONCE]));
+            row(load, name, &simulate(&load::named(load), variant, &SEEDS[..PARALLEL_RUNS]));
         }
     }
 }
 
-fn play(load: &Load, variant: Variant, seeds: &[u64]) -> Vec<Result> {
+fn simulate(load: &Load, variant: Variant, seeds: &[u64]) -> Vec<Result> {
     let some = |seeds: &[u64]| {
         thread::scope(|scope| {
-            let run = |seed| scope.spawn(move || sim::play(load, variant, seed));
+            let run = |seed| scope.spawn(move || sim::simulate(load, variant, seed));
             let runs: Vec<_> = seeds.iter().map(|seed| run(*seed)).collect();
             runs.into_iter().map(|run| run.join().expect("a run")).collect::<Vec<_>>()
         })
     };
-    seeds.chunks(AT_ONCE).flat_map(some).collect()
+    seeds.chunks(PARALLEL_RUNS).flat_map(some).collect()
 }
 
 fn header(what: &str) {
@@ -122,89 +125,89 @@
     (
         "burst 10x",
         [
-            ("catch up 1", |t| t.max_wait_ratio = 1.0),
-            ("catch up 1.25", |_| {}),
-            ("catch up 2", |t| t.max_wait_ratio = 2.0),
+            ("max wait 1", |t| t.max_wait_ratio = 1.0),
+            ("max wait 1.25", |_| {}),
+            ("max wait 2", |t| t.max_wait_ratio = 2.0),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("catch up 1", |t| t.max_wait_ratio = 1.0),
-            ("catch up 1.25", |_| {}),
-            ("catch up 2", |t| t.max_wait_ratio = 2.0),
+            ("max wait 1", |t| t.max_wait_ratio = 1.0),
+            ("max wait 1.25", |_| {}),
+            ("max wait 2", |t| t.max_wait_ratio = 2.0),
         ],
     ),
     (
         "prefix 80%",
         [
-            ("bound 1.0", |t| t.load_bound = 1.0),
-            ("bound 1.25", |_| {}),
-            ("bound 2.0", |t| t.load_bound = 2.0),
+            ("load bound 1.0", |t| t.load_bound = 1.0),
+            ("load bound 1.25", |_| {}),
+            ("load bound 2.0", |t| t.load_bound = 2.0),
         ],
     ),
     (
         "steady 0.8x",
         [
-            ("load 0", |t| t.full_load_penalty = 0.0),
-            ("load 0.25", |_| {}),
-            ("load 1", |t| t.full_load_penalty = 1.0),
+            ("full load 0", |t| t.full_load_penalty = 0.0),
+            ("full load 0.25", |_| {}),
+            ("full load 1", |t| t.full_load_penalty = 1.0),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("mixing 0.01", |t| t.cost_smoothing = 0.01),
-            ("mixing 0.03", |_| {}),
-            ("mixing 0.1", |t| t.cost_smoothing = 0.1),
+            ("smoothing 0.01", |t| t.cost_smoothing = 0.01),
+            ("smoothing 0.03", |_| {}),
+            ("smoothing 0.1", |t| t.cost_smoothing = 0.1),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("patience 0", |t| t.hold_ratio = 0.0),
-            ("patience 0.25", |_| {}),
-            ("patience 1", |t| t.hold_ratio = 1.0),
+            ("hold ratio 0", |t| t.hold_ratio = 0.0),
+            ("hold ratio 0.25", |_| {}),
+            ("hold ratio 1", |t| t.hold_ratio = 1.0),
         ],
     ),
     (
         "third lost",
         [
-            ("patience 0", |t| t.hold_ratio = 0.0),
-            ("patience 0.25", |_| {}),
-            ("patience 1", |t| t.hold_ratio = 1.0),
+            ("hold ratio 0", |t| t.hold_ratio = 0.0),
+            ("hold ratio 0.25", |_| {}),
+            ("hold ratio 1", |t| t.hold_ratio = 1.0),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("hold 250 ms", |t| t.max_hold = Duration::from_millis(250)),
-            ("hold 500 ms", |_| {}),
-            ("hold 1 s", |t| t.max_hold = Duration::from_secs(1)),
+            ("max hold 250 ms", |t| t.max_hold = Duration::from_millis(250)),
+            ("max hold 500 ms", |_| {}),
+            ("max hold 1 s", |t| t.max_hold = Duration::from_secs(1)),
         ],
     ),
     (
         "one 10x slower",
         [
-            ("slow 2", |t| t.slow_factor = 2.0),
-            ("slow 4", |_| {}),
-            ("slow 8", |t| t.slow_factor = 8.0),
+            ("slow factor 2", |t| t.slow_factor = 2.0),
+            ("slow factor 4", |_| {}),
+            ("slow factor 8", |t| t.slow_factor = 8.0),
         ],
     ),
     (
         "one 10x slower",
         [
-            ("strikes 1", |t| t.faults_to_eject = 1),
-            ("strikes 3", |_| {}),
-            ("strikes 12", |t| t.faults_to_eject = 12),
+            ("faults 1", |t| t.faults_to_eject = 1),
+            ("faults 3", |_| {}),
+            ("faults 12", |t| t.faults_to_eject = 12),
         ],
     ),
     (
         "one 10x slower",
         [
-            ("eject 2 s", |t| t.min_ejection = Duration::from_secs(2)),
-            ("eject 5 s", |_| {}),
-            ("eject 15 s", |t| t.min_ejection = Duration::from_secs(15)),
+            ("ejection 2 s", |t| t.min_ejection = Duration::from_secs(2)),
+            ("ejection 5 s", |_| {}),
+            ("ejection 15 s", |t| t.min_ejection = Duration::from_secs(15)),
         ],
     ),
     (
@@ -226,17 +229,17 @@
     (
         "saturation 1.5x",
         [
-            ("margin 1", |t| t.overtaking_factor = 1.0),
-            ("margin 1.25", |_| {}),
-            ("margin 1.5", |t| t.overtaking_factor = 1.5),
+            ("overtaking 1", |t| t.overtaking_factor = 1.0),
+            ("overtaking 1.25", |_| {}),
+            ("overtaking 1.5", |t| t.overtaking_factor = 1.5),
         ],
     ),
     (
         "saturation 1.5x",
         [
-            ("doubt 0", |t| t.lateness_tolerance = 0.0),
-            ("doubt 0.25", |_| {}),
-            ("doubt 1", |t| t.lateness_tolerance = 1.0),
+            ("lateness 0", |t| t.lateness_tolerance = 0.0),
+            ("lateness 0.25", |_| {}),
+            ("lateness 1", |t| t.lateness_tolerance = 1.0),
         ],
     ),
     (
@@ -250,17 +253,17 @@
     (
         "third returns",
         [
-            ("ramp 0", |t| t.doubling_time = Duration::ZERO),
-            ("ramp 500 ms", |_| {}),
-            ("ramp 2 s", |t| t.doubling_time = Duration::from_secs(2)),
+            ("doubling 0", |t| t.doubling_time = Duration::ZERO),
+            ("doubling 500 ms", |_| {}),
+            ("doubling 2 s", |t| t.doubling_time = Duration::from_secs(2)),
         ],
     ),
     (
         "third lost",
         [
-            ("retries 0.02", |t| t.retry_ratio = 0.02),
-            ("retries 0.1", |_| {}),
-            ("retries 0.5", |t| t.retry_ratio = 0.5),
+            ("retry ratio 0.02", |t| t.retry_ratio = 0.02),
+            ("retry ratio 0.1", |_| {}),
+            ("retry ratio 0.5", |t| t.retry_ratio = 0.5),
         ],
     ),
     (
@@ -274,9 +277,9 @@
     (
         "saturation 1.5x",
         [
-            ("left free 0", |t| t.free_reserve_ratio = 0.0),
-            ("left free 0.02", |_| {}),
-            ("left free 0.05", |t| t.free_reserve_ratio = 0.05),
+            ("free reserve 0", |t| t.free_reserve_ratio = 0.0),
+            ("free reserve 0.02", |_| {}),
+            ("free reserve 0.05", |t| t.free_reserve_ratio = 0.05),
         ],
     ),
 ];
--- a/crates/policy/benches/sim/fleet.rs
+++ b/crates/policy/benches/sim/fleet.rs
@@ -113,9 +113,9 @@
     format!("workspace-{i}")
 }
 
-/// Output tokens a second that the fleet can do at most: slots of like speed paired across the
-/// ranges (the best pairing, since a chain's rate 1 / (a + b + c) is supermodular), all links
-/// free, all shared prefixes cached.
+/// The most output tokens a second that the fleet can generate: slots of similar speed are paired across the ranges
+/// (the best pairing, since a chain's rate 1 / (a + b + c) is supermodular), all links take no time, and all shared
+/// prefixes are cached.
 pub fn bound(agents: &[Agent]) -> f64 {
     let mut ranges: Vec<Vec<f64>> = Vec::new();
     for r in 0..AGENTS.len() {
--- a/crates/policy/benches/sim/load.rs
+++ b/crates/policy/benches/sim/load.rs
@@ -1,4 +1,4 @@
-//! The loads that are played: who sends what when, and what goes wrong in the fleet.
+//! The simulated loads: which requests arrive when, and which faults occur in the fleet.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 /// Workspaces of the fleet.
 pub const WORKSPACES: usize = 10;
 
-/// Arrivals and faults end here; what is measured is the window before.
+/// Time in seconds at which arrivals and faults end; the measured window is before it.
 pub const END: f64 = 110.0;
 
 /// Start and end of the measured window in seconds.
 pub const WINDOW: (f64, f64) = (20.0, 90.0);
 
-/// Prompt steps of a draft that are the same for all of its prefix.
+/// Prompt steps of a draft that all drafts of its prefix share.
 pub const SHARED: u32 = 6;
 
 /// Prompt steps of its own.
@@ -34,7 +34,7 @@
     pub deadline: Duration,
 }
 
-/// What goes wrong.
+/// A fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// Agent 0 runs this many times slower.
@@ -51,18 +51,18 @@
     pub name: &'static str,
     /// Offered work relative to the fleet's bound at a time in seconds.
     pub offered: fn(f64) -> f64,
-    /// Part of the requests that workspace 0 sends; the others share the rest evenly.
+    /// Ratio of the requests that workspace 0 sends; the others share the rest evenly.
     pub flood: f64,
-    /// Part of the requests that carry prefix 0.
+    /// Ratio of the requests that carry prefix 0.
     pub hot: f64,
-    /// Part of the requests that ask for [`LONG`] tokens.
+    /// Ratio of the requests that ask for [`LONG`] tokens.
     pub long: f64,
-    /// Age of a report when it comes in.
+    /// Age of a report when it arrives.
     pub lag: Duration,
     pub faults: &'static [(f64, Fault)],
 }
 
-/// Tokens asked for by short, middle and long requests.
+/// Tokens asked for by short, medium and long requests.
 pub const SHORT: u32 = 64;
 const MIDDLE: u32 = 256;
 pub const LONG: u32 = 1024;
@@ -110,7 +110,7 @@
 }
 
 impl Load {
-    /// Its requests in order of arrival, for a fleet that can do `bound` tokens a second.
+    /// Its requests in order of arrival, for a fleet that can generate `bound` tokens a second.
     pub fn requests(&self, bound: f64, routers: usize, seed: u64) -> Vec<Request> {
         let mut rng = Pcg64::seed_from_u64(seed);
         let middle = 0.3;
--- a/crates/policy/benches/sim/mod.rs
+++ b/crates/policy/benches/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A model of a fleet for the decisions only: agents with slots and step times, routers that
-//! decide on their own on late reports, and a heap of events in virtual time. No network, no
-//! engine; a draft takes its tokens times the step times of its chain and their links.
+//! A model of a fleet for the decisions only: agents with slots and step times, routers that decide on their own on
+//! late reports, and a heap of events in virtual time. There is no network and no engine; a draft takes its tokens
+//! times the step times of its chain and their links.
 
 #![allow(dead_code, missing_docs)]
 
@@ -30,7 +30,7 @@
 const TICK: Duration = Duration::from_millis(100);
 const REPORT: Duration = Duration::from_millis(250);
 
-/// Time until a try at a lost VM fails, and until routers see that their connection to it is dead.
+/// Time until a try at a lost VM fails, and until routers notice that their connection to it is dead.
 const CONNECT: Duration = Duration::from_secs(1);
 const DETECT: Duration = Duration::from_secs(1);
 
@@ -41,7 +41,7 @@
     chain: Vec<usize>,
     began: Duration,
     changed: Duration,
-    /// Part of the run done when its speed last changed.
+    /// Ratio of the run that was done when its speed last changed.
     done: f64,
     /// Steps run at each agent of the chain.
     steps: Vec<f64>,
@@ -76,13 +76,13 @@
     result: Result,
 }
 
-/// Plays a load under a policy.
-pub fn play(load: &Load, variant: Variant, seed: u64) -> Result {
+/// Simulates a load under a policy.
+pub fn simulate(load: &Load, variant: Variant, seed: u64) -> Result {
     Fleet::new(load.clone(), variant, seed).run()
 }
 
 impl Fleet {
-    /// A fleet of today's size.
+    /// A fleet of the present size.
     pub fn new(load: Load, variant: Variant, seed: u64) -> Fleet {
         let agents: Vec<Agent> =
             (0..AGENTS.iter().sum()).map(|i| agent(i, variant.objective)).collect();
@@ -115,7 +115,7 @@
         fleet
     }
 
-    /// Plays the load to its end.
+    /// Simulates the load to its end.
     pub fn run(mut self) -> Result {
         while let Some(Reverse((now, _, event))) = self.heap.pop() {
             self.now = now;
@@ -443,7 +443,7 @@
         self.result.bound_changed(at, bound(&self.agents));
     }
 
-    /// The routers see that their connections to the lost VMs are dead.
+    /// The routers notice that their connections to the lost VMs are dead.
     fn detect(&mut self) {
         let dead: Vec<usize> = (0..self.agents.len()).filter(|a| !self.agents[*a].up).collect();
         let running = self.running(|s| s.chain.iter().any(|a| dead.contains(a)));
--- a/crates/policy/benches/sim/result.rs
+++ b/crates/policy/benches/sim/result.rs
@@ -1,10 +1,10 @@
-//! What callers got.
+//! Figures of a simulation: what callers got.
 
 use std::time::Duration;
 
 use super::load::{Request, SHORT, WINDOW, WORKSPACES};
 
-/// What became of a request.
+/// The end of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Fate {
     Open,
@@ -26,9 +26,9 @@
     lost_at: Vec<Option<Duration>>,
     recoveries: Vec<f64>,
     pub ejections: u32,
-    /// Useful tokens over the least of the bound and what was offered.
+    /// Useful tokens relative to the smaller of the bound and what was offered.
     pub share: f64,
-    /// Jain index of what the workspaces got of their max-min fair shares.
+    /// Jain index of the workspaces' results relative to their max-min fair shares.
     pub jain: f64,
     /// Requests answered before their deadline, of all.
     pub hits: f64,
@@ -36,7 +36,7 @@
     pub others: f64,
     /// Useful tokens of each workspace, over what it offered.
     pub served: Vec<f64>,
-    /// Waits of the short that were started, in seconds: p50, p95, p99.
+    /// Waits of the short requests that were started, in seconds: p50, p95, p99.
     pub waits: [f64; 3],
     /// Requests refused at their arrival, of all.
     pub refused: f64,
@@ -46,9 +46,9 @@
     pub retried: f64,
     /// Requests that were accepted and then missed their deadline, of all.
     pub late: f64,
-    /// Slots taken of all, in the window, for each range.
+    /// Ratio of the slots taken, in the window, for each range.
     pub busy: [f64; 3],
-    /// Sessions that found their prefix cached.
+    /// Ratio of the sessions that found their prefix cached.
     pub cached: f64,
     samples: [(u32, u32); 3],
     lookups: (u32, u32),
@@ -140,7 +140,7 @@
         self.bounds.push((at, bound));
     }
 
-    /// Works out the figures.
+    /// Calculates the figures.
     pub fn finish(&mut self, requests: &[Request]) {
         let inside = |r: &Request| (WINDOW.0..WINDOW.1).contains(&r.arrival.as_secs_f64());
         let all: Vec<usize> = (0..requests.len()).filter(|&i| inside(&requests[i])).collect();
--- a/crates/policy/benches/sim/variant.rs
+++ b/crates/policy/benches/sim/variant.rs
@@ -26,18 +26,18 @@
 /// A change of thresholds.
 pub type Tune = fn(&mut Tuning);
 
-/// A policy or baseline: what is replaced in the policy.
+/// A policy or baseline, by what it replaces in the policy.
 #[derive(Debug, Clone, Copy)]
 pub struct Variant {
     pub name: &'static str,
     pub pick: Pick,
-    /// First come first served, held until the deadline.
+    /// First come, first served; requests wait until their deadline.
     pub fifo: bool,
     /// Retries under the budget, with backoff.
     pub budget: bool,
     /// The agents' objective.
     pub objective: Objective,
-    /// The age of reports is known.
+    /// Whether the age of reports is known.
     pub aged: bool,
     /// Changes thresholds for a sweep.
     pub tune: Tune,
@@ -70,7 +70,7 @@
     Variant { name: "age unknown", aged: false, ..POLICY },
 ];
 
-/// A baseline's own count for each replica of a range.
+/// A baseline's own counts for each replica of a range.
 #[derive(Debug, Clone, Default)]
 pub struct Count {
     pub agent: usize,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Lets a request in; the refusal if it isn't.
+    /// Admits a request, or returns its refusal.
     pub fn admit(
         &mut self,
         ask: Request,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Requests that have to be refused.
+    /// Returns the requests that have to be refused.
     pub fn expired(&mut self, room: Room, now: Duration) -> Vec<(usize, Refusal)> {
         match self {
             Waiting::Fifo(list) => {
--- a/crates/policy/src/limit.rs
+++ b/crates/policy/src/limit.rs
@@ -81,8 +81,8 @@
 pub enum Admit {
     /// It has a slot until [`Slots::release`].
     Granted,
-    /// No slot; it was not run. Another try here is only worthwhile when it waits for a suspect to end or to have the
-    /// engine alone.
+    /// No slot; it was not run. Another try here is only worthwhile where a suspect is the cause, which has to end or
+    /// to get the engine to itself.
     Full {
         /// True when a suspect is the cause.
         alone: bool,
--- a/crates/policy/src/quota.rs
+++ b/crates/policy/src/quota.rs
@@ -29,7 +29,7 @@
 /// Time for which a permit may be used.
 const PERMIT_VALIDITY: Duration = Duration::from_millis(500);
 
-/// Shortest time after which a router that got no permit asks again.
+/// Shortest time after which a router that received no permit asks again.
 const MIN_ASK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest time after which a refused caller is asked to come back. Callers have some twenty seconds and come back
@@ -117,7 +117,7 @@
 pub struct Ledger {
     credit: f64,
     at: Option<Duration>,
-    given: Sent,
+    granted: Sent,
     /// Sorted by router.
     free: Vec<Unpermitted>,
 }
@@ -144,12 +144,12 @@
         self.fill(limit, now);
         self.record_unpermitted(router, request, now);
         let free: u32 = self.free.iter().map(|free| free.count).sum();
-        let known = self.given.count(now) as f64 + f64::from(free);
+        let known = self.granted.count(now) as f64 + f64::from(free);
         // The window may cut off part of a permit at either end.
         let room = limit * WINDOW.as_secs_f64() + 1.0 - known;
         let permits = request.want.min(self.credit as u32).min(room.max(0.0) as u32);
         self.credit -= f64::from(permits);
-        (0..permits).for_each(|_| self.given.record(now));
+        (0..permits).for_each(|_| self.granted.record(now));
         let retry_after = match permits < request.want {
             true => {
                 Duration::from_secs_f64((1.0 - self.credit).max(0.0) / limit).max(MIN_ASK_INTERVAL)
@@ -190,7 +190,7 @@
     /// When it may ask for more.
     next: Duration,
     /// Permits received within [`WINDOW`].
-    got: Sent,
+    received: Sent,
     /// Time at which the last refused caller was asked to come back.
     next_slot: Duration,
 }
@@ -219,7 +219,7 @@
     pub fn receive(&mut self, grant: Grant, now: Duration) {
         for _ in 0..grant.permits {
             self.valid_until.push_back(now + PERMIT_VALIDITY);
-            self.got.record(now);
+            self.received.record(now);
         }
         self.next = now + grant.retry_after;
     }
@@ -228,7 +228,7 @@
     /// `routers` routers. Callers are spread at the rate at which permits were received.
     pub fn retry_after(&mut self, limit: f64, routers: u32, now: Duration) -> Duration {
         let even = limit.max(MIN_LIMIT) / f64::from(routers.max(1));
-        let rate = even.max(self.got.count(now) as f64 / WINDOW.as_secs_f64());
+        let rate = even.max(self.received.count(now) as f64 / WINDOW.as_secs_f64());
         let slot = self.next_slot.max(self.next).max(now) + Duration::from_secs_f64(1.0 / rate);
         self.next_slot = slot.min(now + MAX_RETRY_AFTER);
         self.next_slot - now
--- a/crates/policy/src/window.rs
+++ b/crates/policy/src/window.rs
@@ -97,7 +97,7 @@
     window: Duration,
     predecessor: Predecessor,
     /// Fraction of a retry from which on this router's share is rounded up; none until the other routers are known.
-    phase: Option<f64>,
+    rounding_threshold: Option<f64>,
     /// Until when each request counts, which is for two windows; and when the requests of two whole windows are
     /// known.
     requests: VecDeque<Duration>,
@@ -129,7 +129,7 @@
             slack,
             window,
             predecessor,
-            phase: None,
+            rounding_threshold: None,
             requests,
             settled: None,
             used,
@@ -145,7 +145,7 @@
     /// Sets the rank of this router among `routers` routers once these are known. Shares are rounded up or down by
     /// rank, so that the rounding of all routers cancels out.
     pub fn set_rank(&mut self, rank: u32, routers: u32) {
-        self.phase = Some(1.0 - f64::from(rank) / f64::from(routers.max(1)));
+        self.rounding_threshold = Some(1.0 - f64::from(rank) / f64::from(routers.max(1)));
     }
 
     /// Records a request of a caller.
@@ -173,8 +173,10 @@
         let even = self.slack / f64::from(routers.max(1));
         let share =
             USABLE_RATIO * (self.ratio * self.usual_requests(now) + even) * self.usable_ratio(now);
-        match self.phase {
-            Some(phase) => share as u32 + u32::from(share.fract() >= phase),
+        match self.rounding_threshold {
+            Some(rounding_threshold) => {
+                share as u32 + u32::from(share.fract() >= rounding_threshold)
+            }
             // A router that knows of no others may still send one retry.
             None => (share as u32).max(1),
         }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What is let in, what waits and what is refused, without a fleet.
+//! Admission, order and refusal of requests, without a fleet.
 
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// Takes what may start, with as much free as there are requests.
+/// Starts all that may start, with as many free slots as there are requests.
 fn order(queue: &mut Queue<u32>, now: Duration) -> Vec<Entry<u32>> {
     std::iter::from_fn(|| queue.next(ONE, now)).collect()
 }
@@ -45,8 +45,8 @@
     reason: Option<Reason>,
 }
 
-// A request is let in though it can't make its deadline: the caller waits in vain, and
-// learns it too late to go elsewhere.
+// A request is admitted though it can't meet its deadline: the caller waits in vain, and learns it too late to go
+// elsewhere.
 #[rstest]
 #[case(Refused { ahead: 0, ask: ask("a", 5, 9), room: FULL, reason: None })]
 #[case(Refused { ahead: 0, ask: ask("a", 10, 9), room: FULL, reason: Some(Reason::Long) })]
@@ -65,13 +65,13 @@
     assert_eq!(refusal(admit).map(|r| r.reason), case.reason);
 }
 
-// A refusal names a time to come back at which the caller is refused again: callers learn to
-// ignore it and come back at once.
+// A refusal names a time to come back at which the caller is refused again: callers learn to ignore it and come back
+// at once.
 #[test]
 fn a_caller_that_comes_back_when_told_is_let_in() {
     let mut queue = queue();
     let mut fill = 0;
-    let told = loop {
+    let retry_after = loop {
         let admit = queue.admit(ask("a", 4, 20), fill, FULL, Duration::ZERO);
         match refusal(admit) {
             Some(refusal) => break refusal.retry_after.expect("a time"),
@@ -80,7 +80,7 @@
     };
     // The four slots serve the queue meanwhile, one request in each every 4 s.
     let mut now = Duration::ZERO;
-    while now + secs(4) <= told + secs(4) {
+    while now + secs(4) <= retry_after + secs(4) {
         let mut room = Room { free: 4, ..FULL };
         while let Some(entry) = queue.next(room, now) {
             room.free -= 1;
@@ -88,12 +88,12 @@
         }
         now += secs(4);
     }
-    let again = Request { deadline: told + secs(20), ..ask("a", 4, 0) };
-    assert!(refusal(queue.admit(again, 1, FULL, told)).is_none());
+    let returning = Request { deadline: retry_after + secs(20), ..ask("a", 4, 0) };
+    assert!(refusal(queue.admit(returning, 1, FULL, retry_after)).is_none());
 }
 
-// One workspace sends 100 requests before another sends 5. First come first served would
-// make those 5 wait behind all of the flood.
+// One workspace sends 100 requests before another sends 5. First come, first served would make those 5 wait behind
+// all of the flood.
 #[test]
 fn a_flood_waits_behind_its_own() {
     let mut queue = queue();
@@ -107,8 +107,8 @@
     assert_eq!(first.iter().filter(|i| **i >= 1000).count(), 5, "{first:?}");
 }
 
-// Shares are by slot time: three times the weight gets three times the slot time, also when
-// the other sends fewer but longer requests.
+// Shares are by slot time: three times the weight gets three times the slot time, also when the other workspace sends
+// fewer but longer requests.
 #[rstest]
 #[case(4, 4)]
 #[case(12, 2)]
@@ -129,8 +129,7 @@
     assert!((2.0..4.5).contains(&relation), "{given:?}");
 }
 
-// Priority moves a workspace ahead of the others, but a flood of high priority must not
-// take the others' shares.
+// Priority moves a workspace ahead of the others, but a flood of high priority must not take the others' shares.
 #[test]
 fn priority_does_not_take_another_share() {
     let mut queue = queue();
@@ -146,8 +145,8 @@
     assert!(low >= 20, "{low} of the first 40 are of the workspace with three times the weight");
 }
 
-// In one workspace a clerk's short request comes behind long ones. It must pass them; and a long one
-// must not be passed for ever by short ones that keep coming.
+// In one workspace a short request arrives behind long ones. It must overtake them; and a long request must not be
+// overtaken for ever by short ones that keep arriving.
 #[test]
 fn short_passes_long_and_long_does_not_starve() {
     let mut queue = queue();
@@ -167,8 +166,8 @@
     assert!(passed <= 130, "{passed} short ones passed one of 60 s");
 }
 
-// While requests wait the fleet loses its slots. Those that can't make it any more are
-// told so when that is known, and never start.
+// The fleet loses slots while requests wait. Those that can no longer meet their deadline are refused when that is
+// known, and never start.
 #[test]
 fn what_cannot_make_it_any_more_is_given_up() {
     let mut queue = queue();
@@ -184,8 +183,8 @@
     assert_eq!(queue.expired(FULL, secs(19)).len() + gone.len(), 8);
 }
 
-// Callers go, requests are refused by an agent and put back: counts must not drift, or a
-// queue that is empty looks backlogged and holds every request.
+// Callers leave, requests are refused by an agent and put back: counts must not drift, or an empty queue looks
+// backlogged and makes every request wait.
 #[test]
 fn an_empty_queue_is_empty_after_any_order_of_events() {
     let mut queue = queue();
@@ -206,8 +205,8 @@
     assert!(matches!(admit, Admit::Start(_)));
 }
 
-// Operators remove a workspace, or set it up anew, while its requests wait: they still get their turn or
-// their refusal, and new ones are refused.
+// Operators remove a workspace, or add it anew, while its requests wait: these are still started or refused, and new
+// ones are refused.
 #[test]
 fn settings_change_while_requests_wait() {
     let mut queue = queue();
@@ -227,7 +226,8 @@
     assert_eq!(queue.expired(FULL, secs(2)).len(), 1, "refused, not lost");
 }
 
-// A caller names absurd numbers, or an agent reports them: they are refused, not added up.
+// A caller names absurd numbers, or an agent reports them: requests with them are refused, and the sums don't
+// overflow.
 #[test]
 fn absurd_times_are_refused() {
     for run in [Duration::MAX, Duration::MAX / 2, secs(1 << 40)] {
@@ -263,8 +263,8 @@
 }
 
 proptest! {
-    // A request that was let in falls out of the queue's lists: its caller waits for ever. Whatever
-    // happens, each comes out once, and none starts that can't end by its deadline.
+    // A request that was admitted is dropped from the queue's lists: its caller waits for ever. Whatever happens, each
+    // request is returned once, and none starts that can't end by its deadline.
     #[test]
     fn each_request_comes_out_once(events in prop::collection::vec(event(), 1..200)) {
         let (mut queue, mut now) = (queue(), Duration::ZERO);
--- a/crates/policy/tests/crash.rs
+++ b/crates/policy/tests/crash.rs
@@ -1,4 +1,5 @@
-//! Plays of routers and servers without a network: requests that end servers, and servers that end in bulk without one.
+//! Simulations of routers and servers without a network: requests that end servers, and servers that end in bulk
+//! without one.
 
 use std::time::Duration;
 
@@ -7,57 +8,57 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Length of a step of a play.
+/// Length of a step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
 
-/// Length of a play, and how long requests are sent in it.
-const LASTS: Duration = Duration::from_secs(16);
+/// Length of the simulation, and how long requests are sent in it.
+const DURATION: Duration = Duration::from_secs(16);
 
 /// Time to the first event of a run, between two events, and until a deadly request has ended its server.
-const FIRST: Duration = Duration::from_millis(150);
-const PAUSE: Duration = Duration::from_millis(30);
-const LETHAL: Duration = Duration::from_millis(80);
+const FIRST_EVENT: Duration = Duration::from_millis(150);
+const EVENT_INTERVAL: Duration = Duration::from_millis(30);
+const TIME_TO_CRASH: Duration = Duration::from_millis(80);
 
 /// Events of a whole answer.
 const EVENTS: u64 = 60;
 
-/// Pause between two looks at what is to be told, and the time that a suspect waits for others that run alone.
-const BATCH: Duration = Duration::from_millis(20);
-const WAIT: Duration = Duration::from_millis(400);
+/// Time between two updates for other routers, and the time for which a suspect waits for others that run alone.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// Time after which another server stands in for one that has ended.
-const REPLACED: Duration = Duration::from_millis(1500);
+/// Time after which a new server replaces one that has ended.
+const REPLACEMENT_TIME: Duration = Duration::from_millis(1500);
 
-/// Time after the third end from which on each further one is late.
-const KNOWN: Duration = Duration::from_secs(3);
+/// Time after the third end from which on each further one counts as late.
+const REACTION_TIME: Duration = Duration::from_secs(3);
 
 /// First fingerprint of harmless requests.
-const HARMLESS: u64 = 1000;
+const FIRST_HARMLESS: u64 = 1000;
 
 /// Servers that begin answers.
 const SERVERS: usize = 16;
 
-/// What is played.
+/// A scenario.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     routers: usize,
-    /// Deadly requests that differ in content, each sent every so often to a random router.
+    /// Deadly requests that differ in content, and the interval at which each is sent to a random router.
     contents: u64,
     each: Duration,
-    /// Whether a deadly request is sent once only, as one that may not be repeated.
+    /// Whether a deadly request is sent only once, as one that may not be retried.
     once: bool,
-    /// Longest delay of a notice, and the part of them that is lost.
+    /// Longest delay of a notice, and the ratio of notices that are lost.
     late: Duration,
     lost: f64,
     /// When a part of the servers ends at once.
     bulk: &'static [u64],
-    /// When all routers start anew, knowing only what is refused.
+    /// When all routers restart and know only what is refused.
     restart: Option<u64>,
-    /// Servers that each content may end.
+    /// Largest number of servers that each content may end.
     most: u64,
 }
 
-const PLAIN: Case = Case {
+const DEFAULT: Case = Case {
     routers: 5,
     contents: 1,
     each: Duration::from_millis(200),
@@ -69,7 +70,7 @@
     most: 12,
 };
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Debug, Clone)]
 struct Run {
     fingerprint: u64,
@@ -78,26 +79,26 @@
     server: Option<usize>,
     since: Duration,
     waits: Duration,
-    /// Whether it holds its router's place for suspects.
+    /// Whether it holds its router's permit for suspects.
     alone: bool,
-    /// Events that had come before this run, and in all.
+    /// Events received before this run, and in all.
     before: u64,
     events: u64,
     tries: u32,
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug, Default)]
 struct Result {
     /// When deadly requests ended servers.
     ends: Vec<Duration>,
     harmless: u32,
     refused: u32,
-    /// Most losses in one notice.
+    /// Largest number of losses in one update.
     longest: usize,
 }
 
-struct Play {
+struct Simulation {
     case: Case,
     random: Pcg64,
     now: Duration,
@@ -109,10 +110,10 @@
     result: Result,
 }
 
-impl Play {
-    fn new(case: Case, seed: u64) -> Play {
+impl Simulation {
+    fn new(case: Case, seed: u64) -> Simulation {
         let start = |n: usize| Start { id: format!("vm-{n}"), born: 1 };
-        Play {
+        Simulation {
             case,
             random: Pcg64::seed_from_u64(seed),
             now: Duration::ZERO,
@@ -125,12 +126,12 @@
         }
     }
 
-    fn play(mut self) -> Result {
+    fn simulate(mut self) -> Result {
         let every =
             |now: Duration, each: Duration| now.as_millis().is_multiple_of(each.as_millis());
-        while self.now < LASTS {
+        while self.now < DURATION {
             if every(self.now, STEP) {
-                self.arrive(HARMLESS + self.now.as_millis() as u64);
+                self.arrive(FIRST_HARMLESS + self.now.as_millis() as u64);
             }
             for content in 0..self.case.contents {
                 let shift = self.case.each.mul_f64(content as f64 / self.case.contents as f64);
@@ -147,10 +148,10 @@
             self.replace();
             self.run();
             self.send();
-            if every(self.now, BATCH) {
-                self.tell();
+            if every(self.now, UPDATE_INTERVAL) {
+                self.send_updates();
             }
-            self.hear();
+            self.receive_updates();
             self.now += STEP;
         }
         self.result
@@ -158,7 +159,7 @@
 
     fn arrive(&mut self, fingerprint: u64) {
         let router = self.random.random_range(0..self.case.routers);
-        self.result.harmless += u32::from(fingerprint >= HARMLESS);
+        self.result.harmless += u32::from(fingerprint >= FIRST_HARMLESS);
         self.runs.push(Run {
             fingerprint,
             router,
@@ -172,7 +173,7 @@
         });
     }
 
-    /// Sends what waits, as far as its router lets it.
+    /// Sends waiting requests, as far as their router allows it.
     fn send(&mut self) {
         let waiting: Vec<usize> =
             (0..self.runs.len()).filter(|i| self.runs[*i].server.is_none()).collect();
@@ -180,7 +181,7 @@
             let run = &self.runs[i];
             let begun = run.events > 0;
             let place = !self.places[run.router];
-            let late = self.now >= run.waits + WAIT;
+            let late = self.now >= run.waits + MAX_WAIT;
             let alone = match self.lists[run.router].verdict(run.fingerprint, self.now) {
                 Verdict::Clear => false,
                 Verdict::Alone if begun || late => false,
@@ -188,7 +189,7 @@
                 Verdict::Alone => continue,
                 Verdict::Later { .. } if begun => false,
                 Verdict::Later { .. } | Verdict::Refused { .. } => {
-                    self.result.refused += u32::from(run.fingerprint >= HARMLESS);
+                    self.result.refused += u32::from(run.fingerprint >= FIRST_HARMLESS);
                     self.runs.swap_remove(i);
                     continue;
                 }
@@ -206,16 +207,18 @@
         }
     }
 
-    /// Lets events come, and ends servers that a deadly request has run on.
+    /// Produces events, and ends servers that a deadly request has run on.
     fn run(&mut self) {
         let mut dying = Vec::new();
         for run in self.runs.iter_mut().filter(|run| run.server.is_some()) {
             let ran = self.now - run.since;
-            if run.fingerprint < HARMLESS {
-                dying.extend((ran >= LETHAL).then_some(run.server.unwrap()));
+            if run.fingerprint < FIRST_HARMLESS {
+                dying.extend((ran >= TIME_TO_CRASH).then_some(run.server.unwrap()));
                 continue;
             }
-            let more = ran.checked_sub(FIRST).map_or(0, |t| t.div_duration_f64(PAUSE) as u64 + 1);
+            let more = ran
+                .checked_sub(FIRST_EVENT)
+                .map_or(0, |t| t.div_duration_f64(EVENT_INTERVAL) as u64 + 1);
             let events = (run.before + more).min(EVENTS);
             if events > run.events {
                 if run.events == run.before {
@@ -248,7 +251,8 @@
             self.places[run.router] &= !run.alone;
             (run.server, run.before, run.waits, run.alone) = (None, run.events, now, false);
         }
-        let gone = |run: &Run| case.once && run.fingerprint < HARMLESS && run.server.is_none();
+        let gone =
+            |run: &Run| case.once && run.fingerprint < FIRST_HARMLESS && run.server.is_none();
         self.runs.retain(|run| !gone(run));
     }
 
@@ -263,14 +267,14 @@
 
     fn replace(&mut self) {
         for (start, ended) in &mut self.servers {
-            if ended.is_some_and(|at| at + REPLACED <= self.now) {
+            if ended.is_some_and(|at| at + REPLACEMENT_TIME <= self.now) {
                 *start = Start { born: start.born + 1, ..start.clone() };
                 *ended = None;
             }
         }
     }
 
-    fn tell(&mut self) {
+    fn send_updates(&mut self) {
         for from in 0..self.case.routers {
             let update = self.lists[from].take_update(self.now, self.random.random());
             self.result.longest = self.result.longest.max(update.lost.len());
@@ -286,7 +290,7 @@
         }
     }
 
-    fn hear(&mut self) {
+    fn receive_updates(&mut self) {
         let now = self.now;
         let (due, later) = self.notices.drain(..).partition(|(at, ..)| *at <= now);
         self.notices = later;
@@ -302,7 +306,7 @@
         }
     }
 
-    /// All routers start anew. The store has what is refused.
+    /// Restarts all routers. What is refused is read from the store.
     fn restart(&mut self) {
         let refused: Vec<_> = self.lists.iter_mut().flat_map(|l| l.entries(self.now)).collect();
         self.runs.clear();
@@ -318,25 +322,27 @@
     }
 }
 
-/// Requests that end servers go on to end more of them. Routers that have not heard of each other yet may lose three each.
+/// Requests that end servers go on to end more of them. Routers that have not received each other's losses yet may lose
+/// three servers each.
 #[rstest]
-#[case::one_router(Case { routers: 1, ..PLAIN })]
-#[case::five_routers(PLAIN)]
-#[case::twenty_routers(Case { routers: 20, ..PLAIN })]
-#[case::many_routers(Case { routers: 68, ..PLAIN })]
-#[case::late_notices(Case { late: Duration::from_millis(1200), most: 3 * 5, ..PLAIN })]
-#[case::lost_notices(Case { lost: 0.3, ..PLAIN })]
-#[case::two_contents(Case { contents: 2, ..PLAIN })]
-#[case::many_callers(Case { each: Duration::from_millis(50), routers: 20, most: 3 * 20, ..PLAIN })]
-#[case::sent_once(Case { once: true, ..PLAIN })]
-#[case::sent_rarely(Case { each: Duration::from_millis(2500), once: true, ..PLAIN })]
-#[case::beside_bulk_losses(Case { bulk: &[300, 1100, 2500], ..PLAIN })]
-#[case::routers_restart(Case { restart: Some(5000), ..PLAIN })]
+#[case::one_router(Case { routers: 1, ..DEFAULT })]
+#[case::five_routers(DEFAULT)]
+#[case::twenty_routers(Case { routers: 20, ..DEFAULT })]
+#[case::many_routers(Case { routers: 68, ..DEFAULT })]
+#[case::late_notices(Case { late: Duration::from_millis(1200), most: 3 * 5, ..DEFAULT })]
+#[case::lost_notices(Case { lost: 0.3, ..DEFAULT })]
+#[case::two_contents(Case { contents: 2, ..DEFAULT })]
+#[case::many_callers(Case { each: Duration::from_millis(50), routers: 20, most: 3 * 20, ..DEFAULT })]
+#[case::sent_once(Case { once: true, ..DEFAULT })]
+#[case::sent_rarely(Case { each: Duration::from_millis(2500), once: true, ..DEFAULT })]
+#[case::beside_bulk_losses(Case { bulk: &[300, 1100, 2500], ..DEFAULT })]
+#[case::routers_restart(Case { restart: Some(5000), ..DEFAULT })]
 fn deadly_requests_are_stopped(#[case] case: Case) {
     for seed in 0..10 {
-        let result = Play::new(case, seed).play();
+        let result = Simulation::new(case, seed).simulate();
         let ends = &result.ends;
-        let late = ends.iter().filter(|at| ends.len() > 2 && **at > ends[2] + KNOWN).count();
+        let late =
+            ends.iter().filter(|at| ends.len() > 2 && **at > ends[2] + REACTION_TIME).count();
         let what = format!("seed {seed}: ended {}, late {late}, {result:?}", ends.len());
         assert!(late as u64 <= case.contents, "{what}");
         assert!(ends.len() as u64 <= case.most * case.contents, "{what}");
@@ -344,16 +350,16 @@
     }
 }
 
-/// Requests that were on servers which ended in bulk are refused.
+/// Requests that ran on servers which ended in bulk are refused.
 #[rstest]
-#[case::once(Case { bulk: &[3000], ..PLAIN })]
-#[case::twice(Case { bulk: &[3000, 3200], ..PLAIN })]
-#[case::again_and_again(Case { bulk: &[3000, 3100, 3200, 3300, 3400], ..PLAIN })]
-#[case::many_routers(Case { routers: 68, bulk: &[3000, 3150, 5000, 5200], ..PLAIN })]
-#[case::late_notices(Case { late: Duration::from_secs(2), bulk: &[3000, 3150, 3300], ..PLAIN })]
+#[case::once(Case { bulk: &[3000], ..DEFAULT })]
+#[case::twice(Case { bulk: &[3000, 3200], ..DEFAULT })]
+#[case::again_and_again(Case { bulk: &[3000, 3100, 3200, 3300, 3400], ..DEFAULT })]
+#[case::many_routers(Case { routers: 68, bulk: &[3000, 3150, 5000, 5200], ..DEFAULT })]
+#[case::late_notices(Case { late: Duration::from_secs(2), bulk: &[3000, 3150, 3300], ..DEFAULT })]
 fn none_is_refused_for_losses_in_bulk(#[case] case: Case) {
     for seed in 0..10 {
-        let result = Play::new(Case { contents: 0, ..case }, seed).play();
+        let result = Simulation::new(Case { contents: 0, ..case }, seed).simulate();
         assert_eq!(result.refused, 0, "seed {seed}: {result:?}");
         assert!(result.longest <= 32, "seed {seed}: {result:?}");
     }
@@ -363,7 +369,7 @@
     Loss { start: Start { id: format!("vm-{server}"), born: 1 }, at, events }
 }
 
-/// A content that many callers send is refused though it ends well on other servers.
+/// A content that many callers send is refused though it completes on other servers.
 #[test]
 fn a_content_that_ends_well_elsewhere_is_not_refused() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -374,7 +380,7 @@
     }
 }
 
-/// A verdict lasts for ever, or is forgotten with its end.
+/// A verdict lasts for ever, or no loss counts after its end.
 #[test]
 fn a_verdict_ends_and_one_more_loss_renews_it() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -387,7 +393,7 @@
     assert!(matches!(list.verdict(7, end + at(1)), Verdict::Refused { .. }));
 }
 
-/// A request that is known from others only is suspected for ever.
+/// A request that is known only from other routers is suspected for ever.
 #[test]
 fn a_verdict_of_others_ends() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -398,14 +404,14 @@
     assert_eq!(list.counts(at(1) + REFUSAL_TIME), (0, 0));
 }
 
-/// A flood of suspects takes memory without bound, or pushes out what is refused.
+/// A flood of suspects takes memory without bound, or evicts refused requests.
 #[test]
 fn a_flood_of_suspects_is_bounded() {
     let (mut list, at) = (List::default(), Duration::from_millis);
     (0..3).for_each(|n| list.record_loss(7, loss(n, at(n), 0), false));
     assert!(matches!(list.verdict(7, at(3)), Verdict::Refused { .. }));
     for n in 0..3 * MAX_SUSPECTS as u64 {
-        list.record_loss(HARMLESS + n, loss(n, at(100 + n), 0), true);
+        list.record_loss(FIRST_HARMLESS + n, loss(n, at(100 + n), 0), true);
     }
     assert!(list.counts(at(9000)).0 <= MAX_SUSPECTS);
     assert!(matches!(list.verdict(7, at(9000)), Verdict::Refused { .. }));
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What a link between data centres carries when all routers want it at the same moment.
+//! What a link between data centres carries when all routers need it at the same moment.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,21 +8,22 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// Part of the link that is used.
-const PART: f64 = 0.7;
+/// Ratio of the link's capacity that is used.
+const USABLE_RATIO: f64 = 0.7;
 
-/// Wait for the link after which a first event is late.
-const LATE: Duration = Duration::from_millis(400);
+/// Wait for the link above which a first event is late.
+const MAX_WAIT: Duration = Duration::from_millis(400);
 
 struct Load {
     routers: usize,
-    /// Time that one request takes of the link.
+    /// Time that one request takes on the link.
     transfer: Duration,
     /// Requests a second at each router.
     rate: f64,
 }
 
-/// Plays ten seconds in which all requests want the link: how many were sent, and how many of those were on time.
+/// Simulates ten seconds in which all requests need the link; returns how many were sent, and how many of those were
+/// on time.
 fn sent(load: &Load, chosen: bool) -> (usize, usize) {
     let mut random = Pcg64::seed_from_u64(7);
     let mut routers = vec![(Demand::default(), Meter::default()); load.routers];
@@ -37,22 +38,22 @@
         for router in queue.drain(..) {
             let (demand, meter) = &mut routers[router];
             demand.record(now);
-            let share = demand.share(now, load.transfer, PART, load.routers as u32);
+            let share = demand.share(now, load.transfer, USABLE_RATIO, load.routers as u32);
             let chosen = !chosen || random.random::<f64>() < share;
-            if !chosen || !meter.takes(now, PART, others, Duration::from_millis(250)) {
+            if !chosen || !meter.takes(now, USABLE_RATIO, others, Duration::from_millis(250)) {
                 continue;
             }
-            meter.add(now, load.transfer, PART / others);
+            meter.add(now, load.transfer, USABLE_RATIO / others);
             free = free.max(now) + load.transfer;
             sent += 1;
-            on_time += usize::from(free - now <= LATE);
+            on_time += usize::from(free - now <= MAX_WAIT);
         }
     }
     (sent, on_time)
 }
 
-/// Every router sends one transfer over an empty link at the same moment, and all of them come late. Those chosen by
-/// the share of each router are on time, and they are not fewer.
+/// Every router sends one transfer over an empty link at the same moment, and all of them are late. Those selected by
+/// the share of each router have to be on time, and must not be fewer.
 #[test]
 fn routers_that_want_a_link_at_once_fill_it_without_a_queue() {
     for load in [
@@ -71,7 +72,7 @@
     }
 }
 
-/// A link that few want is used by all of them.
+/// A link that few requests need carries all of them.
 #[test]
 fn a_link_that_few_want_is_free() {
     let load = Load { routers: 4, transfer: Duration::from_millis(10), rate: 2.0 };
--- a/crates/policy/tests/fill.rs
+++ b/crates/policy/tests/fill.rs
@@ -1,4 +1,4 @@
-//! Routers that fill one server by what it tells now and then, without a network.
+//! Routers that fill one server by its regular reports, without a network.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -10,27 +10,27 @@
 use rand_pcg::Pcg64;
 use rstest::rstest;
 
-/// Requests that the server has room for, and how long each lasts on average.
-const ROOM: f64 = 130.0;
-const LASTING: Duration = Duration::from_millis(1200);
+/// Requests that the server can run, and how long each lasts on average.
+const CAPACITY: f64 = 130.0;
+const MEAN_RUN: Duration = Duration::from_millis(1200);
 
-/// Part of its room up to which a server is sent more.
-const FULL: f64 = 0.97;
+/// Ratio of its capacity up to which a server is sent more.
+const MAX_FILL: f64 = 0.97;
 
-/// Time between two questions for the server's load, age of the answer, and time until all routers have heard it.
-const EVERY: Duration = Duration::from_secs(1);
-const OLD: Duration = Duration::from_millis(200);
-const HEARD: Duration = Duration::from_millis(100);
+/// Time between two reports of the server's load, age of a report, and time until all routers have received it.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+const REPORT_AGE: Duration = Duration::from_millis(200);
+const REPORT_DELAY: Duration = Duration::from_millis(100);
 
 const END: Duration = Duration::from_secs(40);
 
-struct Play {
+struct Scenario {
     routers: usize,
-    /// Requests that come, as a part of what the server can run.
+    /// Requests that arrive, as a ratio of what the server can run.
     load: f64,
-    /// From when on three times as many come, for four seconds.
+    /// Start of a burst in which three times as many arrive, for four seconds.
     burst: Option<Duration>,
-    /// Whether routers count what was sent since the server told of its load.
+    /// Whether routers count what was sent since the report.
     counts: bool,
 }
 
@@ -39,8 +39,8 @@
     sent: Sent,
     declines: Suspicion,
     running: u32,
-    /// What the server had, and when.
-    told: (f64, Duration),
+    /// The reported load of the server, and when it had it.
+    reported: (f64, Duration),
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -48,27 +48,28 @@
     Request(usize),
     End(usize),
     Ask,
-    /// Routers hear what the server had at that time.
-    Tell(u32, Duration),
+    /// Routers receive the load that the server had at that time.
+    Report(u32, Duration),
 }
 
-/// Parts of what was sent that the server declined, and of its room that was used.
-fn play(play: &Play, seed: u64) -> (f64, f64) {
+/// Ratios of the requests sent that the server declined, and of its capacity that was used.
+fn simulate(scenario: &Scenario, seed: u64) -> (f64, f64) {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut events = BinaryHeap::from([Reverse((Duration::ZERO, Event::Ask))]);
-    let weights: Vec<f64> = (0..play.routers).map(|_| rng.random_range(0.4..1.6)).collect();
+    let weights: Vec<f64> = (0..scenario.routers).map(|_| rng.random_range(0.4..1.6)).collect();
     let all: f64 = weights.iter().sum();
     for (n, weight) in weights.iter().enumerate() {
         let mut at = Duration::ZERO;
         while at < END {
-            let burst = play.burst.is_some_and(|from| from <= at && at < from + 4 * EVERY);
-            let rate = play.load * ROOM / LASTING.as_secs_f64() * weight / all;
+            let burst =
+                scenario.burst.is_some_and(|from| from <= at && at < from + 4 * REPORT_INTERVAL);
+            let rate = scenario.load * CAPACITY / MEAN_RUN.as_secs_f64() * weight / all;
             let rate = if burst { 3.0 * rate } else { rate };
             at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / rate);
             events.push(Reverse((at, Event::Request(n))));
         }
     }
-    let mut routers: Vec<Router> = (0..play.routers).map(|_| Router::default()).collect();
+    let mut routers: Vec<Router> = (0..scenario.routers).map(|_| Router::default()).collect();
     let mut ran: VecDeque<(Duration, u32)> = VecDeque::from([(Duration::ZERO, 0)]);
     let (mut sent, mut declined, mut used, mut last) = (0_u32, 0_u32, 0.0, Duration::ZERO);
     while let Some(Reverse((now, event))) = events.pop().filter(|e| e.0.0 < END) {
@@ -77,29 +78,31 @@
         last = now;
         match event {
             Event::Ask => {
-                let at = now.saturating_sub(OLD);
+                let at = now.saturating_sub(REPORT_AGE);
                 let then = ran.iter().rev().find(|(time, _)| *time <= at).map_or(0, |(_, n)| *n);
-                events.push(Reverse((now + HEARD, Event::Tell(then, at))));
-                events.push(Reverse((now + EVERY, Event::Ask)));
+                events.push(Reverse((now + REPORT_DELAY, Event::Report(then, at))));
+                events.push(Reverse((now + REPORT_INTERVAL, Event::Ask)));
+            }
+            Event::Report(work, at) => {
+                routers.iter_mut().for_each(|r| r.reported = (work.into(), at))
             }
-            Event::Tell(work, at) => routers.iter_mut().for_each(|r| r.told = (work.into(), at)),
             Event::End(n) => {
                 routers[n].running -= 1;
                 ran.push_back((now, running - 1));
             }
             Event::Request(n) => {
                 let router = &mut routers[n];
-                let (work, at) = router.told;
+                let (work, at) = router.reported;
                 let ratio = f64::from(running) / f64::from(router.running.max(1));
-                let ratio = ratio.clamp(1.0, play.routers as f64);
-                let report = Report { work, at, lasting: LASTING };
+                let ratio = ratio.clamp(1.0, scenario.routers as f64);
+                let report = Report { work, at, lasting: MEAN_RUN };
                 let has =
-                    if play.counts { report.estimate(now, &router.sent, ratio) } else { work };
-                if has + 1.0 > FULL * ROOM || router.declines.holds(now) {
+                    if scenario.counts { report.estimate(now, &router.sent, ratio) } else { work };
+                if has + 1.0 > MAX_FILL * CAPACITY || router.declines.holds(now) {
                     continue;
                 }
                 sent += 1;
-                if f64::from(running) >= ROOM {
+                if f64::from(running) >= CAPACITY {
                     declined += 1;
                     router.declines.record_report(now);
                     continue;
@@ -107,18 +110,18 @@
                 router.sent.record(now, 1.0);
                 router.running += 1;
                 ran.push_back((now, running + 1));
-                let lasts = LASTING.mul_f64(rng.random_range(0.5..1.5));
+                let lasts = MEAN_RUN.mul_f64(rng.random_range(0.5..1.5));
                 events.push(Reverse((now + lasts, Event::End(n))));
             }
         }
-        while ran.len() > 1 && ran[1].0 + EVERY < now {
+        while ran.len() > 1 && ran[1].0 + REPORT_INTERVAL < now {
             ran.pop_front();
         }
     }
-    (f64::from(declined) / f64::from(sent), used / ROOM / END.as_secs_f64())
+    (f64::from(declined) / f64::from(sent), used / CAPACITY / END.as_secs_f64())
 }
 
-/// Routers send a server what comes until it declines, as it told of room a second ago.
+/// Routers send a server all that arrives until it declines, as its report of a second ago showed room.
 #[rstest]
 #[case::half(0.5, None, 0.45)]
 #[case::nearly_all(0.9, None, 0.75)]
@@ -132,15 +135,16 @@
     #[values(5, 26, 68)] routers: usize,
 ) {
     for seed in 0..5 {
-        let (declined, used) = play(&Play { routers, load, burst, counts: true }, seed);
+        let (declined, used) = simulate(&Scenario { routers, load, burst, counts: true }, seed);
         assert!(declined <= 0.05, "seed {seed}: {declined:.3} declined, {used:.2} used");
         assert!(used >= least, "seed {seed}: {declined:.3} declined, {used:.2} used");
     }
 }
 
-/// By what the server told alone, many are declined: the plays show what they are meant to.
+/// By reports alone many requests are declined, which shows that the scenarios need the estimate.
 #[test]
-fn what_was_told_alone_is_too_old() {
-    let (declined, _) = play(&Play { routers: 26, load: 1.4, burst: None, counts: false }, 1);
+fn reports_alone_are_too_old() {
+    let (declined, _) =
+        simulate(&Scenario { routers: 26, load: 1.4, burst: None, counts: false }, 1);
     assert!(declined > 0.05, "{declined:.3} declined");
 }
--- a/crates/policy/tests/loan.rs
+++ b/crates/policy/tests/loan.rs
@@ -1,4 +1,4 @@
-//! Routers that lend each other repeats, without a network.
+//! Routers that lend each other retries, without a network.
 
 use std::collections::{BinaryHeap, VecDeque};
 use std::time::Duration;
@@ -14,90 +14,90 @@
 const WINDOW: Duration = Duration::from_secs(10);
 const MS: Duration = Duration::from_millis(1);
 
-/// When needs begin, and when the play ends.
-const FROM: Duration = Duration::from_secs(25);
-const END: Duration = Duration::from_secs(60);
+/// When streams begin to break off, and when the simulation ends.
+const NEEDS_START: Duration = Duration::from_secs(25);
+const SIMULATION_END: Duration = Duration::from_secs(60);
 
-/// Time after its start in which a router learns who the others are.
-const JOIN: Duration = Duration::from_millis(300);
+/// Time after its start at which a router knows the other routers.
+const JOIN_DELAY: Duration = Duration::from_millis(300);
 
-/// When routers begin to be restarted.
-const RESTART: Duration = Duration::from_secs(29);
+/// When the first router is restarted.
+const RESTART_START: Duration = Duration::from_secs(29);
 
-/// Until when streams break off in a play that looks at a restart only, before a window has passed.
-const CALM: Duration = Duration::from_secs(38);
+/// Until when streams break off in a simulation of a restart only, before a whole window has passed.
+const BEFORE_NEXT_WINDOW: Duration = Duration::from_secs(38);
 
 /// Time after which heavy use is known to routers that start, and for which it counts.
-const TOLD: Duration = Duration::from_millis(50);
-const COUNTS: Duration = Duration::from_secs(24);
+const HEAVY_USE_DELAY: Duration = Duration::from_millis(50);
+const HEAVY_USE_LIFETIME: Duration = Duration::from_secs(24);
 
-/// Time for which a process that was told to stop still serves its streams.
-const STOPPING: Duration = Duration::from_secs(3);
+/// Time for which a process that is stopping still serves its streams.
+const STOP_TIME: Duration = Duration::from_secs(3);
 
-/// Time for which one router has all the loss.
-const LOSS: Duration = Duration::from_secs(2);
+/// Time for which the streams of one router break off in a loss.
+const LOSS_TIME: Duration = Duration::from_secs(2);
 
-/// Time that a router waits for an answer.
-const ANSWER: Duration = Duration::from_millis(30);
+/// Time for which a router waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// How what a process hands over comes to the next one.
+/// How the handover of a process is delivered to the next one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Word {
-    /// It is there at the start.
+enum Delivery {
+    /// It is available at the start.
     Ready,
-    /// It comes some time after the start.
+    /// It arrives some time after the start.
     Late(Duration),
-    /// It does not come.
+    /// It does not arrive.
     Lost,
-    /// The time between the two processes is not known, and it is left out.
+    /// The time between the two processes is not known, and the handover is ignored.
     Undated,
-    /// The process after the next one is given it as well.
+    /// The process after the next one receives it as well.
     Twice,
 }
 
-/// Processes that are told to stop, one router after the other, and are followed by new ones.
+/// A rolling restart: processes are stopped, one router after the other, and replaced by new ones.
 #[derive(Debug, Clone, Copy)]
 struct Rolling {
     /// Time between two routers.
     every: Duration,
-    /// Time from the end of a process until the next one starts.
+    /// Time from the end of a process to the start of the next one.
     gap: Duration,
-    /// Whether callers go to other routers meanwhile.
+    /// Whether callers move to other routers meanwhile.
     moves: bool,
-    /// Whether processes end at all, or their callers go elsewhere only.
+    /// Whether processes end at all, or only their callers move.
     ends: bool,
-    word: Word,
-    /// Time after which the new process is killed and followed by another one.
+    delivery: Delivery,
+    /// Time after which the new process is killed and replaced by another one.
     killed: Option<Duration>,
 }
 
 /// A group of routers with callers.
 #[derive(Clone)]
-struct Play {
+struct Scenario {
     routers: usize,
     /// Requests a second of each router's callers.
     requests: f64,
     /// Routers whose streams break off.
     needy: usize,
-    /// Streams of each of them that break off at once, and how often.
+    /// How many streams of each of them break off at once, and at which interval.
     needs: (usize, Duration),
-    /// Until when they do.
+    /// Until when streams break off.
     until: Duration,
-    /// Longest way of a question or an answer.
+    /// Longest transit time of a request or an answer.
     late: Duration,
-    /// Part of the questions and answers that are lost.
+    /// Ratio of the requests and answers that are lost.
     lost: f64,
-    /// Longest time from sending a repeat to its arrival.
+    /// Longest time from sending a retry to its arrival.
     flight: Duration,
-    /// Time between two restarts of routers, one after the other.
+    /// Time between the restarts of two routers.
     restarts: Option<Duration>,
-    /// Routers that are told to stop, one after the other.
+    /// A rolling restart of all routers.
     rolling: Option<Rolling>,
-    /// A router that has all the loss, and when.
+    /// A router whose streams break off, and when.
     loss: Option<(usize, Duration)>,
-    /// When the play ends.
+    /// When the simulation ends.
     end: Duration,
-    /// Part of their streams that break off before the first restart.
+    /// Ratio of the streams that break off before the first restart.
     calm: f64,
     /// When requests fall to a tenth.
     falls: Option<Duration>,
@@ -107,23 +107,23 @@
     dead: usize,
     /// Whether routers lend at all.
     lend: bool,
-    /// Part of the budget that has to be used in some window.
+    /// Ratio of the budget that has to be used in some window.
     least: f64,
 }
 
-const PLAY: Play = Play {
+const DEFAULT: Scenario = Scenario {
     routers: 26,
     requests: 10.0,
     needy: 1,
     needs: (30, Duration::from_millis(50)),
-    until: END,
+    until: SIMULATION_END,
     late: Duration::from_millis(3),
     lost: 0.0,
     flight: Duration::from_millis(10),
     restarts: None,
     rolling: None,
     loss: None,
-    end: END,
+    end: SIMULATION_END,
     calm: 1.0,
     falls: None,
     rises: None,
@@ -132,10 +132,10 @@
     least: 0.5,
 };
 
-/// A question that a router answers for itself and others.
+/// A request that a router answers for itself and others.
 struct Relay {
     asker: usize,
-    ask: Request<usize>,
+    request: Request<usize>,
     asked: Duration,
     round: Round<usize>,
     loan: Loan,
@@ -144,54 +144,55 @@
 
 struct Router {
     /// When its process started.
-    born: Duration,
+    started: Duration,
     budget: Budget,
     borrower: Borrower<usize>,
-    /// When streams broke off that wait for a repeat.
+    /// When streams broke off that wait for a retry.
     waiting: VecDeque<Duration>,
-    /// The round under way, and its questions that are open.
+    /// The round in progress, and the number of its requests without an answer.
     round: Option<(Round<usize>, usize)>,
-    /// Whether its callers go elsewhere, and whether its process has ended.
+    /// Whether its callers have moved, and whether its process has ended.
     left: bool,
     down: bool,
 }
 
 impl Router {
-    fn new(born: Duration) -> Router {
+    fn new(started: Duration) -> Router {
         let budget = Budget::new(RATIO, SLACK, WINDOW);
         let (waiting, borrower) = (VecDeque::new(), Borrower::default());
         let round = None;
-        Router { born, budget, borrower, waiting, round, left: false, down: false }
+        Router { started, budget, borrower, waiting, round, left: false, down: false }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request(usize),
-    /// So many streams of a router break off.
+    /// That many streams of a router break off.
     Break(usize, usize),
     Restart(usize),
-    /// A router learns who the others are.
+    /// A router learns the other routers.
     Join(usize),
-    /// A question of a router comes to another one, or its answer back, or none; by its position among all messages.
+    /// A request of a router arrives at another one, or its answer arrives, or times out; by its index among all
+    /// messages.
     Asked(usize),
     Answered(usize),
     Silent(usize),
-    /// A process is told to stop.
+    /// A process is asked to stop.
     Stop(usize),
     End(usize),
     /// The next process starts.
     Start(usize),
-    /// The word of the process before comes.
-    Told(usize),
+    /// The handover of the previous process arrives.
+    Handover(usize),
     Kill(usize),
 }
 
-/// A question on its way, for a router's own needs or in the name of another one.
+/// A request in transit, for a router's own needs or on behalf of another one.
 struct Message {
     from: usize,
     to: usize,
-    ask: Request<usize>,
+    request: Request<usize>,
     asked: Duration,
     loan: Option<Loan>,
     relay: Option<usize>,
@@ -202,26 +203,26 @@
 struct Outcome {
     requests: Vec<Duration>,
     arrivals: Vec<Duration>,
-    /// Time from when a stream broke off until it got a repeat or was told that there is none.
+    /// Time from when a stream broke off until it got a retry or was refused one.
     decided: Vec<Duration>,
     refused: usize,
-    /// Part of all parts that nobody had used, when streams were refused.
+    /// Ratio of all shares that was unused, when streams were refused.
     free: Vec<f64>,
-    /// Questions that came to each router.
-    questions: Vec<usize>,
+    /// Requests that arrived at each router.
+    requests_received: Vec<usize>,
 }
 
 struct World {
-    play: Play,
+    scenario: Scenario,
     rng: Pcg64,
     events: BinaryHeap<std::cmp::Reverse<(Duration, Event)>>,
     routers: Vec<Router>,
     messages: Vec<Message>,
     relays: Vec<Relay>,
-    /// When routers told of heavy use.
+    /// When routers reported heavy use.
     heavy: Vec<Duration>,
     /// What the last process of each router handed over, and when it ended.
-    words: Vec<Option<(Handover, Duration)>>,
+    handovers: Vec<Option<(Handover, Duration)>>,
     out: Outcome,
 }
 
@@ -230,45 +231,54 @@
         self.events.push(std::cmp::Reverse((at, event)));
     }
 
-    fn send(&mut self, from: usize, ask: Request<usize>, relay: Option<usize>, now: Duration) {
+    fn send(&mut self, from: usize, request: Request<usize>, relay: Option<usize>, now: Duration) {
         let id = self.messages.len();
-        let to = ask.lenders[0];
-        let way = self.play.late.mul_f64(self.rng.random());
-        let up = to >= self.play.dead && !self.routers[to].down;
-        let heard = up && self.rng.random::<f64>() >= self.play.lost;
-        let patience = if relay.is_some() { ANSWER / 2 } else { ANSWER };
-        self.messages.push(Message { from, to, ask, asked: now, loan: None, relay, done: false });
-        self.push(now + patience, Event::Silent(id));
-        if heard {
+        let to = request.lenders[0];
+        let way = self.scenario.late.mul_f64(self.rng.random());
+        let up = to >= self.scenario.dead && !self.routers[to].down;
+        let received = up && self.rng.random::<f64>() >= self.scenario.lost;
+        let timeout = if relay.is_some() { ANSWER_TIMEOUT / 2 } else { ANSWER_TIMEOUT };
+        self.messages.push(Message {
+            from,
+            to,
+            request,
+            asked: now,
+            loan: None,
+            relay,
+            done: false,
+        });
+        self.push(now + timeout, Event::Silent(id));
+        if received {
             self.push(now + way, Event::Asked(id));
         }
     }
 
     fn reply(&mut self, id: usize, loan: Loan, now: Duration) {
         self.messages[id].loan = Some(loan);
-        if self.rng.random::<f64>() >= self.play.lost {
-            let way = self.play.late.mul_f64(self.rng.random());
+        if self.rng.random::<f64>() >= self.scenario.lost {
+            let way = self.scenario.late.mul_f64(self.rng.random());
             self.push(now + way, Event::Answered(id));
         }
     }
 
-    fn takes_one(&mut self, n: usize, now: Duration) -> bool {
-        let (count, router) = (self.play.routers as u32, &mut self.routers[n]);
-        let taken = router.borrower.take(now) || router.budget.take(now - router.born, count);
+    fn take_one(&mut self, n: usize, now: Duration) -> bool {
+        let (count, router) = (self.scenario.routers as u32, &mut self.routers[n]);
+        let taken = router.borrower.take(now) || router.budget.take(now - router.started, count);
         self.note_use(n, now);
         taken
     }
 
     fn note_use(&mut self, n: usize, now: Duration) {
-        let (count, router) = (self.play.routers as u32, &mut self.routers[n]);
-        if router.budget.is_heavy(now - router.born, count) {
+        let (count, router) = (self.scenario.routers as u32, &mut self.routers[n]);
+        if router.budget.is_heavy(now - router.started, count) {
             self.heavy.push(now);
         }
     }
 
-    /// What a router that starts knows of the process before it.
-    fn before(&self, now: Duration) -> Predecessor {
-        let counts = |at: &&Duration| **at + TOLD <= now && now < **at + COUNTS;
+    /// What a router that starts knows of its previous process.
+    fn predecessor(&self, now: Duration) -> Predecessor {
+        let counts =
+            |at: &&Duration| **at + HEAVY_USE_DELAY <= now && now < **at + HEAVY_USE_LIFETIME;
         if self.heavy.iter().rev().any(|at| counts(&at)) {
             Predecessor::Unknown
         } else {
@@ -276,70 +286,70 @@
         }
     }
 
-    /// Starts a new process, which may find the word of the one before it.
-    fn start(&mut self, n: usize, word: Option<Word>, now: Duration) {
+    /// Starts a new process, which may receive the handover of the previous one.
+    fn start(&mut self, n: usize, delivery: Option<Delivery>, now: Duration) {
         self.routers[n] = Router::new(now);
-        let before = self.before(now);
-        self.routers[n].budget.set_predecessor(before);
-        self.push(now + JOIN, Event::Join(n));
-        match word {
-            Some(Word::Late(late)) => self.push(now + late, Event::Told(n)),
-            Some(Word::Lost) | None => {}
-            Some(_) => self.hear(n, word),
+        let predecessor = self.predecessor(now);
+        self.routers[n].budget.set_predecessor(predecessor);
+        self.push(now + JOIN_DELAY, Event::Join(n));
+        match delivery {
+            Some(Delivery::Late(late)) => self.push(now + late, Event::Handover(n)),
+            Some(Delivery::Lost) | None => {}
+            Some(_) => self.receive_handover(n, delivery),
         }
     }
 
-    fn hear(&mut self, n: usize, word: Option<Word>) {
+    fn receive_handover(&mut self, n: usize, delivery: Option<Delivery>) {
         let router = &mut self.routers[n];
-        match &self.words[n] {
-            Some((handover, ended)) if word != Some(Word::Undated) => {
+        match &self.handovers[n] {
+            Some((handover, ended)) if delivery != Some(Delivery::Undated) => {
                 router.budget.set_predecessor(Predecessor::Told);
-                router.budget.take_over(handover, router.born - *ended);
+                router.budget.take_over(handover, router.started - *ended);
             }
             _ => {}
         }
     }
 
-    /// A router that a caller of another one goes to.
+    /// A router that a caller of another one moves to.
     fn elsewhere(&mut self, n: usize) -> usize {
         let open = |m: &usize| !self.routers[*m].left && !self.routers[*m].down;
-        let open: Vec<usize> = (0..self.play.routers).filter(open).collect();
+        let open: Vec<usize> = (0..self.scenario.routers).filter(open).collect();
         if open.is_empty() { n } else { open[self.rng.random_range(0..open.len())] }
     }
 
-    /// Gives repeats to streams that wait, and asks others for more.
+    /// Gives retries to streams that wait, and asks other routers for more.
     fn serve(&mut self, n: usize, now: Duration) {
         while let Some(since) = self.routers[n].waiting.front().copied() {
-            if !self.takes_one(n, now) {
+            if !self.take_one(n, now) {
                 break;
             }
             self.routers[n].waiting.pop_front();
             self.out.decided.push(now - since);
-            let flight = self.play.flight.mul_f64(self.rng.random());
+            let flight = self.scenario.flight.mul_f64(self.rng.random());
             self.out.arrivals.push(now + flight);
         }
         if self.routers[n].waiting.is_empty() || self.routers[n].round.is_some() {
             return;
         }
-        let members: Vec<usize> = (0..self.play.routers).filter(|m| *m != n).collect();
+        let members: Vec<usize> = (0..self.scenario.routers).filter(|m| *m != n).collect();
         let router = &mut self.routers[n];
-        if !self.play.lend || !router.borrower.may_ask(&members, now) {
+        if !self.scenario.lend || !router.borrower.may_ask(&members, now) {
             return self.refuse(n, now);
         }
-        let part = router.budget.share(now - router.born, self.play.routers as u32);
+        let share = router.budget.share(now - router.started, self.scenario.routers as u32);
         let want = router.waiting.len() as u32;
-        let round = router.borrower.round(&members, want, part, now, &mut self.rng);
+        let round = router.borrower.round(&members, want, share, now, &mut self.rng);
         router.round = Some((round, 0));
         self.ask_next(n, now);
     }
 
-    /// Part of the parts of all routers that is left.
+    /// Ratio of the shares of all routers that is unused.
     fn free(&mut self, now: Duration) -> f64 {
-        let (count, dead) = (self.play.routers as u32, self.play.dead);
+        let (count, dead) = (self.scenario.routers as u32, self.scenario.dead);
         let (mut left, mut all) = (0, 0);
         for router in self.routers.iter_mut().skip(dead).filter(|router| !router.down) {
-            left += router.budget.left(now - router.born, count);
-            all += router.budget.share(now - router.born, count);
+            left += router.budget.left(now - router.started, count);
+            all += router.budget.share(now - router.started, count);
         }
         f64::from(left) / f64::from(all.max(1))
     }
@@ -353,15 +363,15 @@
         }
     }
 
-    /// Sends the next questions of a round, or ends it.
+    /// Sends the next requests of a round, or ends it.
     fn ask_next(&mut self, n: usize, now: Duration) {
         let Some((round, open)) = self.routers[n].round.as_mut() else { return };
         if *open > 0 {
             return;
         }
-        let asks = round.wave();
-        *open = asks.len();
-        if asks.is_empty() {
+        let requests = round.wave();
+        *open = requests.len();
+        if requests.is_empty() {
             let short = round.want() > 0;
             self.routers[n].round = None;
             match short {
@@ -370,24 +380,24 @@
             }
             return;
         }
-        asks.into_iter().for_each(|ask| self.send(n, ask, None, now));
+        requests.into_iter().for_each(|request| self.send(n, request, None, now));
     }
 
-    fn asked(&mut self, id: usize, now: Duration) {
+    fn receive_request(&mut self, id: usize, now: Duration) {
         if self.routers[self.messages[id].to].down {
             return;
         }
-        let (to, ask) = (self.messages[id].to, self.messages[id].ask.clone());
-        self.out.questions[to] += 1;
-        let count = self.play.routers as u32;
+        let (to, request) = (self.messages[id].to, self.messages[id].request.clone());
+        self.out.requests_received[to] += 1;
+        let count = self.scenario.routers as u32;
         let router = &mut self.routers[to];
-        let loan = router.budget.lend(Need::Begun, ask.want, now - router.born, count);
+        let loan = router.budget.lend(Need::Begun, request.want, now - router.started, count);
         self.note_use(to, now);
-        if loan.lent == ask.want || ask.lenders.len() == 1 {
+        if loan.lent == request.want || request.lenders.len() == 1 {
             return self.reply(id, loan, now);
         }
-        let round = Round::each(&ask.lenders[1..], ask.want - loan.lent);
-        self.relays.push(Relay { asker: id, ask, asked: now, round, loan, open: 0 });
+        let round = Round::each(&request.lenders[1..], request.want - loan.lent);
+        self.relays.push(Relay { asker: id, request, asked: now, round, loan, open: 0 });
         self.relay_next(self.relays.len() - 1, now);
     }
 
@@ -396,29 +406,31 @@
         if relay.open > 0 {
             return;
         }
-        // The router that asked is no longer waiting after a while.
-        let late = now - relay.asked > ANSWER / 2;
-        let asks = if late { Vec::new() } else { relay.round.wave() };
-        relay.open = asks.len();
-        let (id, loan, from) = (relay.asker, relay.loan, relay.ask.lenders[0]);
-        match asks.is_empty() {
+        // The router that sent the request no longer waits after a while.
+        let late = now - relay.asked > ANSWER_TIMEOUT / 2;
+        let requests = if late { Vec::new() } else { relay.round.wave() };
+        relay.open = requests.len();
+        let (id, loan, from) = (relay.asker, relay.loan, relay.request.lenders[0]);
+        match requests.is_empty() {
             true => self.reply(id, loan, now),
-            false => asks.into_iter().for_each(|ask| self.send(from, ask, Some(at), now)),
+            false => {
+                requests.into_iter().for_each(|request| self.send(from, request, Some(at), now))
+            }
         }
     }
 
-    fn answered(&mut self, id: usize, silent: bool, now: Duration) {
+    fn receive_answer(&mut self, id: usize, silent: bool, now: Duration) {
         let done = std::mem::replace(&mut self.messages[id].done, true);
         let m = &self.messages[id];
-        let (from, ask, asked, loan) = (m.from, m.ask.clone(), m.asked, m.loan);
+        let (from, request, asked, loan) = (m.from, m.request.clone(), m.asked, m.loan);
         let loan = loan.filter(|_| !silent);
         match m.relay {
             _ if done && silent => {}
-            // An answer that comes late is used by streams that wait by then.
+            // A late answer is used by streams that wait by then.
             None if done => {
                 let borrower = &mut self.routers[from].borrower;
-                borrower.clear_backoff(ask.lenders[0]);
-                borrower.receive(&ask, loan.expect("an answer"), asked, now);
+                borrower.clear_backoff(request.lenders[0]);
+                borrower.receive(&request, loan.expect("an answer"), asked, now);
                 self.serve(from, now);
             }
             Some(_) if done => {}
@@ -428,7 +440,7 @@
                 if let Some(loan) = loan {
                     relay.loan.lent += loan.lent;
                     relay.loan.retry_after = relay.loan.retry_after.min(loan.retry_after);
-                    relay.round.record(ask, loan);
+                    relay.round.record(request, loan);
                 }
                 self.relay_next(at, now);
             }
@@ -438,12 +450,12 @@
                     *open -= 1;
                     match loan {
                         Some(loan) => {
-                            router.borrower.receive(&ask, loan, asked, now);
-                            round.record(ask, loan);
+                            router.borrower.receive(&request, loan, asked, now);
+                            round.record(request, loan);
                         }
                         None => {
-                            router.borrower.back_off(ask.lenders[0], now + LENDER_BACKOFF);
-                            round.timed_out(ask);
+                            router.borrower.back_off(request.lenders[0], now + LENDER_BACKOFF);
+                            round.timed_out(request);
                         }
                     }
                     self.serve(from, now);
@@ -454,68 +466,68 @@
     }
 }
 
-fn play(play: &Play, seed: u64) -> Outcome {
-    let routers = play.routers;
+fn simulate(scenario: &Scenario, seed: u64) -> Outcome {
+    let routers = scenario.routers;
     let mut world = World {
-        play: play.clone(),
+        scenario: scenario.clone(),
         rng: Pcg64::seed_from_u64(seed),
         events: BinaryHeap::new(),
         routers: (0..routers).map(|_| Router::new(Duration::ZERO)).collect(),
         messages: Vec::new(),
         relays: Vec::new(),
         heavy: Vec::new(),
-        words: vec![None; routers],
-        out: Outcome { questions: vec![0; routers], ..Outcome::default() },
+        handovers: vec![None; routers],
+        out: Outcome { requests_received: vec![0; routers], ..Outcome::default() },
     };
     for n in 0..routers {
-        world.push(JOIN, Event::Join(n));
+        world.push(JOIN_DELAY, Event::Join(n));
         let mut at = Duration::ZERO;
         loop {
-            let rate = match play.falls {
-                Some(falls) if at > falls => play.requests / 10.0,
-                _ if play.rises.is_some_and(|rises| at > rises) => play.requests * 5.0,
-                _ => play.requests,
+            let rate = match scenario.falls {
+                Some(falls) if at > falls => scenario.requests / 10.0,
+                _ if scenario.rises.is_some_and(|rises| at > rises) => scenario.requests * 5.0,
+                _ => scenario.requests,
             };
             at += Duration::from_secs_f64(-world.rng.random::<f64>().max(1e-9).ln() / rate);
-            if at > play.end {
+            if at > scenario.end {
                 break;
             }
             world.push(at, Event::Request(n));
         }
     }
-    let first = play.dead.min(routers - 1);
-    for n in first..(first + play.needy).min(routers) {
-        let mut at = FROM;
-        while at < play.until {
+    let first = scenario.dead.min(routers - 1);
+    for n in first..(first + scenario.needy).min(routers) {
+        let mut at = NEEDS_START;
+        while at < scenario.until {
             // Routers notice a loss some milliseconds apart.
-            let part = if at < RESTART { play.calm } else { 1.0 };
-            let count = (play.needs.0 as f64 * part).round() as usize;
+            let part = if at < RESTART_START { scenario.calm } else { 1.0 };
+            let count = (scenario.needs.0 as f64 * part).round() as usize;
             world.push(at + MS * (n % 40) as u32, Event::Break(n, count));
-            at += play.needs.1;
+            at += scenario.needs.1;
         }
     }
-    if let Some(every) = play.restarts {
+    if let Some(every) = scenario.restarts {
         for n in 0..routers {
-            world.push(RESTART + every * n as u32, Event::Restart(n));
+            world.push(RESTART_START + every * n as u32, Event::Restart(n));
         }
     }
-    for (n, rolling) in (0..routers).flat_map(|n| play.rolling.map(|rolling| (n, rolling))) {
-        let at = RESTART + rolling.every * n as u32;
+    for (n, rolling) in (0..routers).flat_map(|n| scenario.rolling.map(|rolling| (n, rolling))) {
+        let at = RESTART_START + rolling.every * n as u32;
         world.push(at, Event::Stop(n));
         if rolling.ends {
-            world.push(at + STOPPING, Event::End(n));
+            world.push(at + STOP_TIME, Event::End(n));
         }
-        world.push(at + STOPPING + rolling.gap, Event::Start(n));
+        world.push(at + STOP_TIME + rolling.gap, Event::Start(n));
     }
-    let (moves, ends) = play.rolling.map_or((false, false), |r| (r.moves, r.ends));
-    if let Some((n, from)) = play.loss {
-        let times = LOSS.as_millis() / play.needs.1.as_millis();
+    let (moves, ends) = scenario.rolling.map_or((false, false), |r| (r.moves, r.ends));
+    if let Some((n, from)) = scenario.loss {
+        let times = LOSS_TIME.as_millis() / scenario.needs.1.as_millis();
         for i in 0..times as u32 {
-            world.push(from + play.needs.1 * i, Event::Break(n, play.needs.0));
+            world.push(from + scenario.needs.1 * i, Event::Break(n, scenario.needs.0));
         }
     }
     while let Some(std::cmp::Reverse((now, event))) = world.events.pop() {
-        if now > play.end {
+        if now > scenario.end {
             break;
         }
         match event {
@@ -524,11 +536,11 @@
                 world.out.requests.push(now);
                 let gone = world.routers[n].left || world.routers[n].down;
                 let n = if gone { world.elsewhere(n) } else { n };
-                let born = world.routers[n].born;
-                world.routers[n].budget.record_request(now - born);
+                let started = world.routers[n].started;
+                world.routers[n].budget.record_request(now - started);
             }
             // A router that has just started has no streams.
-            Event::Break(n, _) if now < world.routers[n].born + JOIN => {}
+            Event::Break(n, _) if now < world.routers[n].started + JOIN_DELAY => {}
             Event::Break(n, _) if world.routers[n].down => {}
             Event::Break(n, count) => {
                 world.routers[n].waiting.extend((0..count).map(|_| now));
@@ -536,35 +548,38 @@
             }
             Event::Restart(n) => {
                 world.routers[n] = Router::new(now);
-                let before = world.before(now);
-                world.routers[n].budget.set_predecessor(before);
-                world.push(now + JOIN, Event::Join(n));
+                let predecessor = world.predecessor(now);
+                world.routers[n].budget.set_predecessor(predecessor);
+                world.push(now + JOIN_DELAY, Event::Join(n));
             }
             Event::Stop(n) => world.routers[n].left = moves,
             Event::End(n) => {
                 let router = &mut world.routers[n];
-                let handover = router.budget.close(now - router.born);
-                world.words[n] = handover.map(|handover| (handover, now));
+                let handover = router.budget.close(now - router.started);
+                world.handovers[n] = handover.map(|handover| (handover, now));
                 router.down = true;
                 router.waiting.clear();
                 router.round = None;
             }
             Event::Start(n) if !ends => world.routers[n].left = false,
             Event::Start(n) => {
-                world.start(n, play.rolling.map(|rolling| rolling.word), now);
-                if let Some(killed) = play.rolling.and_then(|rolling| rolling.killed) {
+                world.start(n, scenario.rolling.map(|rolling| rolling.delivery), now);
+                if let Some(killed) = scenario.rolling.and_then(|rolling| rolling.killed) {
                     world.push(now + killed, Event::Kill(n));
                 }
             }
-            Event::Told(n) => world.hear(n, play.rolling.map(|rolling| rolling.word)),
+            Event::Handover(n) => {
+                world.receive_handover(n, scenario.rolling.map(|rolling| rolling.delivery))
+            }
             Event::Kill(n) => {
-                let twice = play.rolling.is_some_and(|rolling| rolling.word == Word::Twice);
-                world.start(n, twice.then_some(Word::Twice), now);
+                let twice =
+                    scenario.rolling.is_some_and(|rolling| rolling.delivery == Delivery::Twice);
+                world.start(n, twice.then_some(Delivery::Twice), now);
             }
             Event::Join(n) => world.routers[n].budget.set_rank(n as u32, routers as u32),
-            Event::Asked(id) => world.asked(id, now),
-            Event::Answered(id) => world.answered(id, false, now),
-            Event::Silent(id) => world.answered(id, true, now),
+            Event::Asked(id) => world.receive_request(id, now),
+            Event::Answered(id) => world.receive_answer(id, false, now),
+            Event::Silent(id) => world.receive_answer(id, true, now),
         }
     }
     world.out.arrivals.sort_unstable();
@@ -575,9 +590,9 @@
     times.partition_point(|at| *at <= to) - times.partition_point(|at| *at <= from)
 }
 
-/// The part of the common budget that was used in the window that ends with each repeat, where the budget is the largest of
-/// the windows that end some time before.
-fn parts<'a>(
+/// The ratio of the common budget that was used in the window that ends with each retry, where the budget is the
+/// largest of the windows that end some time before.
+fn used_ratios<'a>(
     out: &'a Outcome,
     before: &'a [Duration],
 ) -> impl Iterator<Item = (Duration, f64)> + 'a {
@@ -592,265 +607,276 @@
     })
 }
 
-/// The most of the common budget that was used in any window.
+/// The largest ratio of the common budget that was used in any window.
 fn most(out: &Outcome) -> f64 {
     let before = [Duration::ZERO, WINDOW / 2, WINDOW];
-    parts(out, &before).map(|(_, used)| used).fold(0.0, f64::max)
+    used_ratios(out, &before).map(|(_, used)| used).fold(0.0, f64::max)
 }
 
-/// The most of it that was used in windows that end at some moment or later, of the budget of that window itself.
+/// The largest ratio that was used in windows that end at `from` or later, of the budget of that window itself.
 fn most_from(out: &Outcome, from: Duration) -> f64 {
-    let late = parts(out, &[Duration::ZERO]).filter(|(end, _)| *end >= from);
+    let late = used_ratios(out, &[Duration::ZERO]).filter(|(end, _)| *end >= from);
     late.map(|(_, used)| used).fold(0.0, f64::max)
 }
 
-/// One router's streams break off, or those of a few, and they are given up while the other routers' parts lie idle.
+/// The streams of one router or a few break off, and are given up while the shares of the other routers are unused.
 #[rstest]
-#[case::one(Play { routers: 1, ..PLAY })]
-#[case::five(Play { routers: 5, ..PLAY })]
-#[case::twenty_six(PLAY)]
-#[case::sixty_eight(Play { routers: 68, ..PLAY })]
-#[case::four_hundred(Play { routers: 400, needs: (200, Duration::from_millis(50)), ..PLAY })]
-#[case::four_of_five(Play { routers: 5, needy: 4, ..PLAY })]
-#[case::four_of_twenty_six(Play { needy: 4, ..PLAY })]
-#[case::four_of_sixty_eight(Play { routers: 68, needy: 4, ..PLAY })]
-#[case::four_of_four_hundred(Play { routers: 400, needy: 4, needs: (100, Duration::from_millis(50)), ..PLAY })]
-#[case::all(Play { needy: 26, ..PLAY })]
-fn the_budget_is_used_and_kept(#[case] case: Play) {
+#[case::one(Scenario { routers: 1, ..DEFAULT })]
+#[case::five(Scenario { routers: 5, ..DEFAULT })]
+#[case::twenty_six(DEFAULT)]
+#[case::sixty_eight(Scenario { routers: 68, ..DEFAULT })]
+#[case::four_hundred(Scenario { routers: 400, needs: (200, Duration::from_millis(50)), ..DEFAULT })]
+#[case::four_of_five(Scenario { routers: 5, needy: 4, ..DEFAULT })]
+#[case::four_of_twenty_six(Scenario { needy: 4, ..DEFAULT })]
+#[case::four_of_sixty_eight(Scenario { routers: 68, needy: 4, ..DEFAULT })]
+#[case::four_of_four_hundred(Scenario { routers: 400, needy: 4, needs: (100, Duration::from_millis(50)), ..DEFAULT })]
+#[case::all(Scenario { needy: 26, ..DEFAULT })]
+fn the_budget_is_used_and_kept(#[case] case: Scenario) {
     for seed in 0..if case.routers > 100 { 2 } else { 5 } {
-        let used = most(&play(&case, seed));
+        let used = most(&simulate(&case, seed));
         assert!(used <= 1.0, "seed {seed}: {used:.3} used");
         assert!(used >= 0.9, "seed {seed}: {used:.3} used");
     }
 }
 
-/// More repeats than allowed arrive, as questions, routers or repeats on their way are lost or late.
+/// More retries than allowed arrive, as requests, routers or retries in transit are lost or late.
 #[rstest]
-#[case::late(Play { late: Duration::from_millis(60), needy: 4, ..PLAY })]
-#[case::very_late(Play { late: Duration::from_millis(900), needy: 4, least: 0.1, ..PLAY })]
-#[case::lost(Play { lost: 0.3, needy: 4, ..PLAY })]
-#[case::dead(Play { dead: 6, needy: 4, ..PLAY })]
-#[case::in_flight(Play { flight: Duration::from_millis(600), needy: 4, ..PLAY })]
-#[case::restarts(Play { restarts: Some(Duration::from_secs(1)), needy: 26, ..PLAY })]
-#[case::restarts_of_four(Play { routers: 4, restarts: Some(Duration::from_secs(4)), needy: 4, ..PLAY })]
-#[case::restarts_of_many(Play { routers: 68, restarts: Some(Duration::from_millis(300)), needy: 68, ..PLAY })]
-#[case::restarts_at_once(Play { restarts: Some(Duration::ZERO), needy: 26, ..PLAY })]
-#[case::restarts_while_calm(Play {
-    restarts: Some(Duration::ZERO), needy: 26, needs: (10, Duration::from_millis(500)), calm: 0.1, until: CALM, ..PLAY
+#[case::late(Scenario { late: Duration::from_millis(60), needy: 4, ..DEFAULT })]
+#[case::very_late(Scenario { late: Duration::from_millis(900), needy: 4, least: 0.1, ..DEFAULT })]
+#[case::lost(Scenario { lost: 0.3, needy: 4, ..DEFAULT })]
+#[case::dead(Scenario { dead: 6, needy: 4, ..DEFAULT })]
+#[case::in_flight(Scenario { flight: Duration::from_millis(600), needy: 4, ..DEFAULT })]
+#[case::restarts(Scenario { restarts: Some(Duration::from_secs(1)), needy: 26, ..DEFAULT })]
+#[case::restarts_of_four(Scenario { routers: 4, restarts: Some(Duration::from_secs(4)), needy: 4, ..DEFAULT })]
+#[case::restarts_of_many(Scenario { routers: 68, restarts: Some(Duration::from_millis(300)), needy: 68, ..DEFAULT })]
+#[case::restarts_at_once(Scenario { restarts: Some(Duration::ZERO), needy: 26, ..DEFAULT })]
+#[case::restarts_while_calm(Scenario {
+    restarts: Some(Duration::ZERO), needy: 26, needs: (10, Duration::from_millis(500)), calm: 0.1,
+    until: BEFORE_NEXT_WINDOW, ..DEFAULT
 })]
-#[case::requests_fall(Play { falls: Some(Duration::from_secs(32)), needy: 4, ..PLAY })]
-#[case::requests_fall_in_flight(Play {
-    falls: Some(Duration::from_secs(32)), flight: Duration::from_millis(600), needy: 26, ..PLAY
+#[case::requests_fall(Scenario { falls: Some(Duration::from_secs(32)), needy: 4, ..DEFAULT })]
+#[case::requests_fall_in_flight(Scenario {
+    falls: Some(Duration::from_secs(32)), flight: Duration::from_millis(600), needy: 26, ..DEFAULT
 })]
-#[case::few_requests(Play { requests: 0.1, needy: 26, ..PLAY })]
-fn the_budget_is_kept_under_faults(#[case] case: Play) {
+#[case::few_requests(Scenario { requests: 0.1, needy: 26, ..DEFAULT })]
+fn the_budget_is_kept_under_faults(#[case] case: Scenario) {
     for seed in 0..10 {
-        let used = most(&play(&case, seed));
+        let used = most(&simulate(&case, seed));
         assert!(used <= 1.0, "seed {seed}: {used:.3} used");
         assert!(used >= case.least, "seed {seed}: {used:.3} used");
     }
 }
 
-/// A server with 250 streams dies. Each stream knows within 50 ms whether it may be repeated, and all that fit are.
+/// A server with 250 streams dies. It has to be known within 50 ms for each stream whether it may be retried, and all
+/// that fit the budget are retried.
 #[rstest]
-#[case::of_one(Play { needs: (250, Duration::from_millis(200)), ..PLAY }, 1)]
-#[case::of_four(Play { needy: 4, needs: (13, Duration::from_millis(40)), ..PLAY }, 5)]
-#[case::of_sixty_eight(Play { routers: 68, needs: (250, Duration::from_millis(200)), ..PLAY }, 1)]
-#[case::of_four_hundred(Play { routers: 400, needs: (250, Duration::from_millis(200)), ..PLAY }, 1)]
-fn a_loss_is_decided_at_once(#[case] case: Play, #[case] times: u32) {
-    let case = Play { until: FROM + case.needs.1 * times, ..case };
+#[case::of_one(Scenario { needs: (250, Duration::from_millis(200)), ..DEFAULT }, 1)]
+#[case::of_four(Scenario { needy: 4, needs: (13, Duration::from_millis(40)), ..DEFAULT }, 5)]
+#[case::of_sixty_eight(Scenario { routers: 68, needs: (250, Duration::from_millis(200)), ..DEFAULT }, 1)]
+#[case::of_four_hundred(Scenario { routers: 400, needs: (250, Duration::from_millis(200)), ..DEFAULT }, 1)]
+fn a_loss_is_decided_at_once(#[case] case: Scenario, #[case] times: u32) {
+    let case = Scenario { until: NEEDS_START + case.needs.1 * times, ..case };
     for seed in 0..10 {
-        let out = play(&case, seed);
+        let out = simulate(&case, seed);
         let longest = out.decided.iter().max().copied().unwrap_or_default();
         assert!(longest <= 50 * MS, "seed {seed}: {longest:?}");
         assert_eq!(out.refused, 0, "seed {seed}");
     }
 }
 
-/// Routers that do not answer hold a loss up for one short wait.
+/// Routers that do not answer delay a loss by more than one short wait.
 #[test]
 fn dead_lenders_cost_one_wait() {
     let needs = (100, Duration::from_millis(200));
-    let case = Play { dead: 3, needs, until: FROM + needs.1, ..PLAY };
+    let case = Scenario { dead: 3, needs, until: NEEDS_START + needs.1, ..DEFAULT };
     for seed in 0..10 {
-        let out = play(&case, seed);
+        let out = simulate(&case, seed);
         let longest = out.decided.iter().max().copied().unwrap_or_default();
-        assert!(longest <= 2 * ANSWER + 50 * MS, "seed {seed}: {longest:?}");
+        assert!(longest <= 2 * ANSWER_TIMEOUT + 50 * MS, "seed {seed}: {longest:?}");
         assert_eq!(out.refused, 0, "seed {seed}");
     }
 }
 
 /// All routers are short at once, and each asks all others again and again.
 #[test]
-fn a_lasting_shortage_makes_few_questions() {
+fn a_lasting_shortage_makes_few_requests() {
     for (routers, most) in [(26, 40.0), (400, 40.0)] {
-        let out = play(&Play { routers, needy: routers, ..PLAY }, 1);
-        let asked = out.questions.iter().max().copied().unwrap_or_default() as f64;
-        let rate = asked / (END - FROM).as_secs_f64();
-        assert!(rate <= most, "{rate:.1} questions a second at one of {routers} routers");
+        let out = simulate(&Scenario { routers, needy: routers, ..DEFAULT }, 1);
+        let received = out.requests_received.iter().max().copied().unwrap_or_default() as f64;
+        let rate = received / (SIMULATION_END - NEEDS_START).as_secs_f64();
+        assert!(rate <= most, "{rate:.1} requests a second at one of {routers} routers");
     }
 }
 
-/// With lending off, most of the budget lies idle: the plays show what they are meant to.
+/// Without loans most of the budget is unused, which shows that the scenarios need them.
 #[test]
 fn without_loans_the_budget_lies_idle() {
-    let used = most(&play(&Play { lend: false, ..PLAY }, 1));
+    let used = most(&simulate(&Scenario { lend: false, ..DEFAULT }, 1));
     assert!(used < 0.1, "{used:.3} used");
 }
 
-const ROLLING: Rolling = Rolling {
+const ROLLING_RESTART: Rolling = Rolling {
     every: Duration::from_millis(600),
     gap: Duration::ZERO,
     moves: false,
     ends: true,
-    word: Word::Ready,
+    delivery: Delivery::Ready,
     killed: None,
 };
 
-const SLOW: Rolling = Rolling { every: Duration::from_secs(1), ..ROLLING };
+const SLOW_RESTART: Rolling = Rolling { every: Duration::from_secs(1), ..ROLLING_RESTART };
 
-/// Callers go elsewhere from when a process is told to stop until the next one starts.
-const MOVING: Rolling = Rolling { gap: Duration::from_secs(1), moves: true, ..ROLLING };
+/// Callers move to other routers from when a process is asked to stop until the next one starts.
+const MOVING_CALLERS: Rolling =
+    Rolling { gap: Duration::from_secs(1), moves: true, ..ROLLING_RESTART };
 
-/// All routers have heavy use, and are then restarted in turn.
-const USED: Play = Play {
+/// All routers have heavy use, and are then restarted one after the other.
+const HEAVY_USE: Scenario = Scenario {
     needy: 26,
-    until: RESTART,
-    rolling: Some(ROLLING),
+    until: RESTART_START,
+    rolling: Some(ROLLING_RESTART),
     end: Duration::from_secs(70),
-    ..PLAY
+    ..DEFAULT
 };
 
-/// All routers are restarted in turn while no stream breaks off.
-const QUIET: Play = Play { needy: 0, ..USED };
+/// All routers are restarted one after the other while no stream breaks off.
+const NO_USE: Scenario = Scenario { needy: 0, ..HEAVY_USE };
 
-/// When the last router has just learnt who the others are after its restart.
-fn restarted(case: &Play) -> Duration {
+/// When the last router knows the other routers again after its restart.
+fn restarted(case: &Scenario) -> Duration {
     let rolling = case.rolling.expect("a rolling restart");
-    RESTART + rolling.every * (case.routers as u32 - 1) + STOPPING + rolling.gap + JOIN
+    RESTART_START + rolling.every * (case.routers as u32 - 1) + STOP_TIME + rolling.gap + JOIN_DELAY
 }
 
-/// The most that was used in windows that end at some moment or later, by seed, within the bound in all windows.
-fn used_from(case: &Play, from: Duration) -> Vec<f64> {
-    let outs: Vec<Outcome> = (0..5).map(|seed| play(case, seed)).collect();
+/// The largest ratio that was used in windows that end at `from` or later, by seed; all windows have to be within the
+/// budget.
+fn used_from(case: &Scenario, from: Duration) -> Vec<f64> {
+    let outs: Vec<Outcome> = (0..5).map(|seed| simulate(case, seed)).collect();
     let all: Vec<f64> = outs.iter().map(most).collect();
     assert!(all.iter().all(|used| *used <= 1.0), "used at most: {all:.3?}");
     outs.iter().map(|out| most_from(out, from)).collect()
 }
 
-/// Routers are restarted in turn and then one has all the loss, while the parts of those that have started lie idle.
+/// Routers are restarted one after the other and then the streams of one break off, while the shares of those that
+/// have started are unused.
 #[rstest]
-#[case::used_twenty_six(USED, 0)]
-#[case::used_twenty_six_slowly(Play { rolling: Some(SLOW), ..USED }, 0)]
-#[case::used_twenty_two(Play { routers: 22, needy: 22, ..USED }, 0)]
-#[case::used_twenty_two_slowly(Play { routers: 22, needy: 22, rolling: Some(SLOW), ..USED }, 0)]
-#[case::used_loss_at_the_last(USED, 25)]
-#[case::quiet_loss_at_the_first(QUIET, 0)]
-#[case::quiet_loss_at_the_last(QUIET, 25)]
-#[case::quiet_twenty_two(Play { routers: 22, ..QUIET }, 0)]
-#[case::quiet_twenty_two_slowly(Play { routers: 22, rolling: Some(SLOW), ..QUIET }, 21)]
-fn planned_restarts_leave_the_budget_usable(#[case] case: Play, #[case] loser: usize) {
+#[case::used_twenty_six(HEAVY_USE, 0)]
+#[case::used_twenty_six_slowly(Scenario { rolling: Some(SLOW_RESTART), ..HEAVY_USE }, 0)]
+#[case::used_twenty_two(Scenario { routers: 22, needy: 22, ..HEAVY_USE }, 0)]
+#[case::used_twenty_two_slowly(Scenario { routers: 22, needy: 22, rolling: Some(SLOW_RESTART), ..HEAVY_USE }, 0)]
+#[case::used_loss_at_the_last(HEAVY_USE, 25)]
+#[case::quiet_loss_at_the_first(NO_USE, 0)]
+#[case::quiet_loss_at_the_last(NO_USE, 25)]
+#[case::quiet_twenty_two(Scenario { routers: 22, ..NO_USE }, 0)]
+#[case::quiet_twenty_two_slowly(Scenario { routers: 22, rolling: Some(SLOW_RESTART), ..NO_USE }, 21)]
+fn planned_restarts_leave_the_budget_usable(#[case] case: Scenario, #[case] loser: usize) {
     let at = restarted(&case) + 50 * MS;
-    let used = used_from(&Play { loss: Some((loser, at)), ..case }, at);
+    let used = used_from(&Scenario { loss: Some((loser, at)), ..case }, at);
     assert!(used.iter().all(|used| *used >= 0.9), "used after the restarts: {used:.3?}");
 }
 
-/// The callers of routers that are restarted go to others for some seconds, and a part of the budget lies idle for two
-/// windows.
+/// The callers of routers that are restarted move to others for some seconds, and a part of the budget is unusable
+/// for two windows.
 #[rstest]
-#[case::used(Play { rolling: Some(MOVING), ..USED })]
-#[case::used_slowly(Play { rolling: Some(Rolling { every: Duration::from_secs(1), ..MOVING }), ..USED })]
-#[case::quiet(Play { rolling: Some(MOVING), ..QUIET })]
-#[case::no_process_ends(Play { rolling: Some(Rolling { ends: false, ..MOVING }), ..QUIET })]
-fn callers_that_move_leave_the_budget_usable(#[case] case: Play) {
+#[case::used(Scenario { rolling: Some(MOVING_CALLERS), ..HEAVY_USE })]
+#[case::used_slowly(Scenario { rolling: Some(Rolling { every: Duration::from_secs(1), ..MOVING_CALLERS }), ..HEAVY_USE })]
+#[case::quiet(Scenario { rolling: Some(MOVING_CALLERS), ..NO_USE })]
+#[case::no_process_ends(Scenario { rolling: Some(Rolling { ends: false, ..MOVING_CALLERS }), ..NO_USE })]
+fn callers_that_move_leave_the_budget_usable(#[case] case: Scenario) {
     let at = restarted(&case) + 50 * MS;
-    let used = used_from(&Play { loss: Some((0, at)), ..case }, at);
+    let used = used_from(&Scenario { loss: Some((0, at)), ..case }, at);
     assert!(used.iter().all(|used| *used >= 0.9), "used after the restarts: {used:.3?}");
 }
 
-/// The use that the plays above begin with is heavy.
+/// The use that the scenarios above begin with is heavy.
 #[test]
 fn the_budget_is_used_before_the_restarts() {
     for seed in 0..5 {
-        let used = most(&play(&Play { rolling: None, end: RESTART, ..USED }, seed));
+        let used =
+            most(&simulate(&Scenario { rolling: None, end: RESTART_START, ..HEAVY_USE }, seed));
         assert!((0.9..=1.0).contains(&used), "seed {seed}: {used:.3} used");
     }
 }
 
-/// A process that learns late what the one before it used goes on with a small part of its own.
+/// A process that receives the handover of the previous one late goes on with a small part of its own share.
 #[rstest]
-#[case::used(USED, 0)]
-#[case::quiet(QUIET, 25)]
-fn a_late_word_makes_the_budget_usable(#[case] case: Play, #[case] loser: usize) {
+#[case::used(HEAVY_USE, 0)]
+#[case::quiet(NO_USE, 25)]
+fn a_late_handover_makes_the_budget_usable(#[case] case: Scenario, #[case] loser: usize) {
     let late = Duration::from_secs(2);
-    let rolling = Some(Rolling { word: Word::Late(late), ..ROLLING });
-    let case = Play { rolling, ..case };
+    let rolling = Some(Rolling { delivery: Delivery::Late(late), ..ROLLING_RESTART });
+    let case = Scenario { rolling, ..case };
     let at = restarted(&case) + late;
-    let used = used_from(&Play { loss: Some((loser, at)), ..case }, at);
-    assert!(used.iter().all(|used| *used >= 0.9), "used after the word: {used:.3?}");
+    let used = used_from(&Scenario { loss: Some((loser, at)), ..case }, at);
+    assert!(used.iter().all(|used| *used >= 0.9), "used after the handover: {used:.3?}");
 }
 
-/// The plays above without restarts: the loss is one that can use the budget.
+/// The scenarios above without restarts: the loss is one that can use the budget.
 #[rstest]
-#[case::used(Play { rolling: None, ..USED })]
-#[case::quiet(Play { rolling: None, ..QUIET })]
-fn without_restarts_the_budget_is_usable(#[case] case: Play) {
-    let at = restarted(&USED) + 50 * MS;
-    let used = used_from(&Play { loss: Some((0, at)), ..case }, at);
+#[case::used(Scenario { rolling: None, ..HEAVY_USE })]
+#[case::quiet(Scenario { rolling: None, ..NO_USE })]
+fn without_restarts_the_budget_is_usable(#[case] case: Scenario) {
+    let at = restarted(&HEAVY_USE) + 50 * MS;
+    let used = used_from(&Scenario { loss: Some((0, at)), ..case }, at);
     assert!(used.iter().all(|used| *used >= 0.9), "used: {used:.3?}");
 }
 
-/// More repeats than allowed arrive, as what a process handed over comes late or not at all, or its successor is killed.
+/// More retries than allowed arrive, as a handover comes late or not at all, or the process that received it is
+/// killed.
 #[rstest]
-#[case::ready(ROLLING)]
-#[case::ready_slowly(SLOW)]
-#[case::at_once(Rolling { every: Duration::ZERO, ..ROLLING })]
-#[case::late(Rolling { word: Word::Late(Duration::from_secs(2)), ..ROLLING })]
-#[case::very_late(Rolling { word: Word::Late(Duration::from_secs(9)), ..ROLLING })]
-#[case::lost(Rolling { word: Word::Lost, ..ROLLING })]
-#[case::undated(Rolling { word: Word::Undated, ..ROLLING })]
-#[case::undated_at_once(Rolling { word: Word::Undated, every: Duration::ZERO, ..ROLLING })]
-#[case::killed(Rolling { killed: Some(Duration::from_secs(2)), ..ROLLING })]
-#[case::killed_at_once(Rolling { every: Duration::ZERO, killed: Some(Duration::from_secs(2)), ..ROLLING })]
-#[case::moving(MOVING)]
-#[case::moving_at_once(Rolling { every: Duration::ZERO, ..MOVING })]
-#[case::moving_late(Rolling { word: Word::Late(Duration::from_secs(2)), ..MOVING })]
-#[case::moving_lost(Rolling { word: Word::Lost, ..MOVING })]
-#[case::moving_undated(Rolling { word: Word::Undated, ..MOVING })]
-#[case::moving_killed(Rolling { killed: Some(Duration::from_secs(2)), ..MOVING })]
-#[case::killed_before_the_word(Rolling {
-    word: Word::Late(Duration::from_secs(2)), killed: Some(Duration::from_secs(1)), ..ROLLING
+#[case::ready(ROLLING_RESTART)]
+#[case::ready_slowly(SLOW_RESTART)]
+#[case::at_once(Rolling { every: Duration::ZERO, ..ROLLING_RESTART })]
+#[case::late(Rolling { delivery: Delivery::Late(Duration::from_secs(2)), ..ROLLING_RESTART })]
+#[case::very_late(Rolling { delivery: Delivery::Late(Duration::from_secs(9)), ..ROLLING_RESTART })]
+#[case::lost(Rolling { delivery: Delivery::Lost, ..ROLLING_RESTART })]
+#[case::undated(Rolling { delivery: Delivery::Undated, ..ROLLING_RESTART })]
+#[case::undated_at_once(Rolling { delivery: Delivery::Undated, every: Duration::ZERO, ..ROLLING_RESTART })]
+#[case::killed(Rolling { killed: Some(Duration::from_secs(2)), ..ROLLING_RESTART })]
+#[case::killed_at_once(Rolling { every: Duration::ZERO, killed: Some(Duration::from_secs(2)), ..ROLLING_RESTART })]
+#[case::moving(MOVING_CALLERS)]
+#[case::moving_at_once(Rolling { every: Duration::ZERO, ..MOVING_CALLERS })]
+#[case::moving_late(Rolling { delivery: Delivery::Late(Duration::from_secs(2)), ..MOVING_CALLERS })]
+#[case::moving_lost(Rolling { delivery: Delivery::Lost, ..MOVING_CALLERS })]
+#[case::moving_undated(Rolling { delivery: Delivery::Undated, ..MOVING_CALLERS })]
+#[case::moving_killed(Rolling { killed: Some(Duration::from_secs(2)), ..MOVING_CALLERS })]
+#[case::killed_before_the_handover(Rolling {
+    delivery: Delivery::Late(Duration::from_secs(2)), killed: Some(Duration::from_secs(1)), ..ROLLING_RESTART
 })]
 fn the_budget_is_kept_over_planned_restarts(#[case] rolling: Rolling) {
-    let case = Play { until: USED.end, rolling: Some(rolling), ..USED };
+    let case = Scenario { until: HEAVY_USE.end, rolling: Some(rolling), ..HEAVY_USE };
     for seed in 0..10 {
-        let used = most(&play(&case, seed));
+        let used = most(&simulate(&case, seed));
         assert!(used <= 1.0, "seed {seed}: {used:.3} used");
         assert!(used >= case.least, "seed {seed}: {used:.3} used");
     }
 }
 
-/// Two processes use one word, and what the first of them used is used again.
+/// Two processes receive one handover, and what the first of them used is used again.
 #[rstest]
-#[case::once(Word::Ready, 0.9, 1.0)]
-#[case::twice(Word::Twice, 1.5, 2.0)]
-fn a_word_is_for_one_process(#[case] word: Word, #[case] least: f64, #[case] highest: f64) {
+#[case::once(Delivery::Ready, 0.9, 1.0)]
+#[case::twice(Delivery::Twice, 1.5, 2.0)]
+fn a_handover_is_for_one_process(
+    #[case] delivery: Delivery,
+    #[case] least: f64,
+    #[case] highest: f64,
+) {
     let killed = Some(Duration::from_millis(1200));
-    let rolling = Rolling { every: Duration::ZERO, word, killed, ..ROLLING };
-    let case = Play { rolling: Some(rolling), needs: (60, 50 * MS), ..QUIET };
-    let case = Play { loss: Some((0, restarted(&case) + 50 * MS)), ..case };
+    let rolling = Rolling { every: Duration::ZERO, delivery, killed, ..ROLLING_RESTART };
+    let case = Scenario { rolling: Some(rolling), needs: (60, 50 * MS), ..NO_USE };
+    let case = Scenario { loss: Some((0, restarted(&case) + 50 * MS)), ..case };
     for seed in 0..5 {
-        let used = most(&play(&case, seed));
+        let used = most(&simulate(&case, seed));
         assert!(used >= least && used <= highest, "seed {seed}: {used:.3} used");
     }
 }
 
-/// Streams are refused repeats while other routers have some, as these are not asked again for some time.
+/// Streams are refused retries while other routers have some left, as these are not asked again for some time.
 #[rstest]
-#[case::steady(PLAY)]
-#[case::requests_rise(Play { rises: Some(Duration::from_secs(27)), ..PLAY })]
-fn nobody_is_refused_while_others_have_some(#[case] case: Play) {
-    let outs: Vec<Outcome> = (0..5).map(|seed| play(&case, seed)).collect();
+#[case::steady(DEFAULT)]
+#[case::requests_rise(Scenario { rises: Some(Duration::from_secs(27)), ..DEFAULT })]
+fn nobody_is_refused_while_others_have_some(#[case] case: Scenario) {
+    let outs: Vec<Outcome> = (0..5).map(|seed| simulate(&case, seed)).collect();
     let free: Vec<f64> =
         outs.iter().map(|out| out.free.iter().copied().fold(0.0, f64::max)).collect();
     let wrongly = outs.iter().map(|out| out.free.iter().filter(|free| **free > 0.1).count());
@@ -865,10 +891,10 @@
 #[test]
 fn dead_lenders_cost_a_single_stream_one_wait() {
     let needs = (1, Duration::from_millis(200));
-    let until = FROM + Duration::from_secs(5);
-    let case = Play { dead: 8, requests: 0.1, needs, until, ..PLAY };
+    let until = NEEDS_START + Duration::from_secs(5);
+    let case = Scenario { dead: 8, requests: 0.1, needs, until, ..DEFAULT };
     let longest: Vec<Duration> = (0..10)
-        .map(|seed| play(&case, seed).decided.into_iter().max().unwrap_or_default())
+        .map(|seed| simulate(&case, seed).decided.into_iter().max().unwrap_or_default())
         .collect();
-    assert!(longest.iter().all(|longest| *longest <= 2 * ANSWER + 50 * MS), "{longest:?}");
+    assert!(longest.iter().all(|longest| *longest <= 2 * ANSWER_TIMEOUT + 50 * MS), "{longest:?}");
 }
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -10,24 +10,24 @@
 
 /// A group of routers with callers.
 #[derive(Clone)]
-struct Play {
+struct Scenario {
     routers: usize,
-    /// Requests a second for the server, in all.
+    /// Requests a second for the server, of all routers.
     demand: f64,
-    /// Each router has that part of the requests of the one before it.
+    /// Ratio of the requests of each router to those of the router before it.
     skew: f64,
     limit: f64,
-    /// Longest way of a question and its answer.
+    /// Longest time from a request for permits to its answer.
     late: Duration,
-    /// Part of the questions that are lost.
+    /// Ratio of the requests for permits that are lost.
     lost: f64,
-    /// How often another router becomes the keeper of the ledger.
+    /// Interval at which another router becomes the owner of the ledger.
     moves: Option<Duration>,
-    /// How long the two then both keep one.
+    /// How long both owners then keep a ledger.
     both: Duration,
 }
 
-const PLAY: Play = Play {
+const DEFAULT: Scenario = Scenario {
     routers: 20,
     demand: 12.0,
     skew: 1.0,
@@ -38,15 +38,15 @@
     both: Duration::ZERO,
 };
 
-/// When the server names its limit, and when the play ends.
-const NAMED: Duration = Duration::from_secs(10);
+/// When the server names its limit, and when the simulation ends.
+const LIMIT_START: Duration = Duration::from_secs(10);
 const END: Duration = Duration::from_secs(70);
 
-/// Time after which a limit has to be kept.
-const KEPT_FROM: Duration = Duration::from_secs(3);
+/// Time after which the limit has to be kept.
+const SETTLING_TIME: Duration = Duration::from_secs(3);
 
-/// How long routers take to hear of the limit at most.
-const HEARD: Duration = Duration::from_millis(500);
+/// Longest time until a router knows of the limit.
+const MAX_NOTICE_DELAY: Duration = Duration::from_millis(500);
 
 struct Router {
     permits: Permits,
@@ -57,23 +57,23 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A router hears of the limit.
+    /// A router learns of the limit.
     Learns(usize),
-    /// A request comes to a router.
+    /// A request arrives at a router.
     Request(usize),
-    /// An answer to a router's question comes; the permits and the milliseconds after which it may ask again.
+    /// The answer to a router's request arrives: the permits and the milliseconds after which it may ask again.
     Answer(usize, u32, u64),
 }
 
-/// Times at which callers asked, and at which the server got requests.
-fn play(play: &Play, seed: u64) -> (Vec<Duration>, Vec<Duration>) {
+/// Times at which callers sent requests, and at which the server received them.
+fn simulate(scenario: &Scenario, seed: u64) -> (Vec<Duration>, Vec<Duration>) {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let weights: Vec<f64> = (0..play.routers).map(|n| play.skew.powi(n as i32)).collect();
+    let weights: Vec<f64> = (0..scenario.routers).map(|n| scenario.skew.powi(n as i32)).collect();
     let all: f64 = weights.iter().sum();
     let mut events = BinaryHeap::new();
     let mut push = |at: Duration, event| events.push(std::cmp::Reverse((at, event)));
     for (n, weight) in weights.iter().enumerate() {
-        let rate = play.demand * weight / all;
+        let rate = scenario.demand * weight / all;
         let mut at = Duration::ZERO;
         loop {
             at += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / rate);
@@ -83,11 +83,11 @@
             push(at, Event::Request(n));
         }
     }
-    let mut routers: Vec<Router> = (0..play.routers)
+    let mut routers: Vec<Router> = (0..scenario.routers)
         .map(|_| Router {
             permits: Permits::default(),
             sent: Sent::default(),
-            knows: NAMED + HEARD.mul_f64(rng.random()),
+            knows: LIMIT_START + MAX_NOTICE_DELAY.mul_f64(rng.random()),
             asking: false,
         })
         .collect();
@@ -124,97 +124,102 @@
             continue;
         }
         router.asking = true;
-        let way = play.late.mul_f64(rng.random());
-        if rng.random::<f64>() < play.lost {
+        let way = scenario.late.mul_f64(rng.random());
+        if rng.random::<f64>() < scenario.lost {
             let answer = Event::Answer(n, 0, 100);
             events.push(std::cmp::Reverse((now + Duration::from_millis(100), answer)));
             continue;
         }
         let (free, last) = router.sent.before(router.knows, now);
         let free_age = now.saturating_sub(last.unwrap_or_default());
-        let ask = Request { limit: play.limit, free, free_age, want: u32::from(asks) };
+        let request = Request { limit: scenario.limit, free, free_age, want: u32::from(asks) };
         let at = now + way / 2;
-        let keeper = play.moves.map_or(0, |every| {
+        let owner = scenario.moves.map_or(0, |every| {
             let turn = (at.as_secs_f64() / every.as_secs_f64()) as usize;
             let since = at.as_secs_f64() % every.as_secs_f64();
-            let old = since < play.both.as_secs_f64() && rng.random::<f64>() < 0.5;
+            let old = since < scenario.both.as_secs_f64() && rng.random::<f64>() < 0.5;
             turn.saturating_sub(usize::from(old))
         });
-        let grant = ledgers[keeper % 64].grant(&format!("vm-{n}"), ask, at);
+        let grant = ledgers[owner % 64].grant(&format!("vm-{n}"), request, at);
         let answer = Event::Answer(n, grant.permits, grant.retry_after.as_millis() as u64);
         events.push(std::cmp::Reverse((now + way, answer)));
     }
     (asked, got)
 }
 
-/// Most requests in any window that ends after the limit has to be kept.
+/// Largest number of requests in any window that ends after the limit has to be kept.
 fn most(got: &[Duration]) -> usize {
-    let ends = got.iter().filter(|at| **at >= NAMED + KEPT_FROM);
+    let ends = got.iter().filter(|at| **at >= LIMIT_START + SETTLING_TIME);
     let within = |end: Duration| got.iter().filter(move |at| **at <= end && **at + WINDOW > end);
     ends.map(|end| within(*end).count()).max().unwrap_or(0)
 }
 
-/// Part of the limit that is used once the flood of before is past.
-fn used(play: &Play, got: &[Duration]) -> f64 {
-    let from = NAMED + 2 * WINDOW;
+/// Ratio of the limit that is used once the requests from before it have left the window.
+fn used(scenario: &Scenario, got: &[Duration]) -> f64 {
+    let from = LIMIT_START + 2 * WINDOW;
     let count = got.iter().filter(|at| **at >= from).count() as f64;
-    count / (play.limit * (END - from).as_secs_f64())
+    count / (scenario.limit * (END - from).as_secs_f64())
 }
 
 fn allowed(limit: f64) -> usize {
     (limit * WINDOW.as_secs_f64() * 1.5) as usize + 5
 }
 
-/// More requests reach the server than it named, or routers leave most of its limit unused.
+/// More requests reach the server than it allows, or routers leave most of its limit unused.
 #[rstest]
-#[case::one(Play { routers: 1, ..PLAY })]
-#[case::five(Play { routers: 5, ..PLAY })]
-#[case::twenty(PLAY)]
-#[case::sixty_eight(Play { routers: 68, ..PLAY })]
-#[case::five_skewed(Play { routers: 5, skew: 0.3, ..PLAY })]
-#[case::twenty_skewed(Play { skew: 0.7, ..PLAY })]
-#[case::sixty_eight_skewed(Play { routers: 68, skew: 0.8, ..PLAY })]
-#[case::a_high_limit(Play { limit: 40.0, demand: 130.0, skew: 0.8, ..PLAY })]
-#[case::far_away(Play { late: Duration::from_millis(60), skew: 0.7, ..PLAY })]
-fn the_limit_is_kept_and_used(#[case] case: Play) {
+#[case::one(Scenario { routers: 1, ..DEFAULT })]
+#[case::five(Scenario { routers: 5, ..DEFAULT })]
+#[case::twenty(DEFAULT)]
+#[case::sixty_eight(Scenario { routers: 68, ..DEFAULT })]
+#[case::five_skewed(Scenario { routers: 5, skew: 0.3, ..DEFAULT })]
+#[case::twenty_skewed(Scenario { skew: 0.7, ..DEFAULT })]
+#[case::sixty_eight_skewed(Scenario { routers: 68, skew: 0.8, ..DEFAULT })]
+#[case::a_high_limit(Scenario { limit: 40.0, demand: 130.0, skew: 0.8, ..DEFAULT })]
+#[case::far_away(Scenario { late: Duration::from_millis(60), skew: 0.7, ..DEFAULT })]
+fn the_limit_is_kept_and_used(#[case] case: Scenario) {
     for seed in 0..20 {
-        let (_, got) = play(&case, seed);
+        let (_, got) = simulate(&case, seed);
         assert!(most(&got) <= allowed(case.limit), "seed {seed}: {} in 4 s", most(&got));
         assert!(used(&case, &got) >= 0.9, "seed {seed}: {:.2} used", used(&case, &got));
     }
 }
 
-/// Questions are late or lost, and keepers of the ledger change or overlap; the server gets more than it named.
+/// Requests for permits are late or lost, and owners of the ledger change or overlap; the server receives more than
+/// it allows.
 #[rstest]
-#[case::late(Play { late: Duration::from_secs(1), skew: 0.7, ..PLAY })]
-#[case::lost(Play { lost: 0.5, skew: 0.7, ..PLAY })]
-#[case::moves(Play { moves: Some(Duration::from_secs(5)), ..PLAY })]
-#[case::overlaps(Play { moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..PLAY })]
-#[case::overlaps_many(Play { routers: 68, moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..PLAY })]
-#[case::high_and_overlapping(Play { limit: 40.0, demand: 130.0, moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..PLAY })]
-fn the_limit_is_kept_under_faults(#[case] case: Play) {
+#[case::late(Scenario { late: Duration::from_secs(1), skew: 0.7, ..DEFAULT })]
+#[case::lost(Scenario { lost: 0.5, skew: 0.7, ..DEFAULT })]
+#[case::moves(Scenario { moves: Some(Duration::from_secs(5)), ..DEFAULT })]
+#[case::overlaps(Scenario { moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..DEFAULT })]
+#[case::overlaps_many(Scenario {
+    routers: 68, moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..DEFAULT
+})]
+#[case::high_and_overlapping(Scenario {
+    limit: 40.0, demand: 130.0, moves: Some(Duration::from_secs(7)), both: Duration::from_secs(1), ..DEFAULT
+})]
+fn the_limit_is_kept_under_faults(#[case] case: Scenario) {
     for seed in 0..20 {
-        let (_, got) = play(&case, seed);
+        let (_, got) = simulate(&case, seed);
         assert!(most(&got) <= allowed(case.limit), "seed {seed}: {} in 4 s", most(&got));
         assert!(used(&case, &got) >= 0.5, "seed {seed}: {:.2} used", used(&case, &got));
     }
 }
 
-/// Where demand is below the limit, a server that named one still gets nearly all of it.
+/// Demand is below the limit, and yet requests are refused.
 #[rstest]
-#[case::few(Play { routers: 4, demand: 2.0, limit: 4.0, ..PLAY })]
-#[case::many(Play { routers: 68, demand: 2.0, limit: 4.0, ..PLAY })]
-fn little_demand_is_not_refused(#[case] case: Play) {
+#[case::few(Scenario { routers: 4, demand: 2.0, limit: 4.0, ..DEFAULT })]
+#[case::many(Scenario { routers: 68, demand: 2.0, limit: 4.0, ..DEFAULT })]
+fn little_demand_is_not_refused(#[case] case: Scenario) {
     for seed in 0..20 {
-        let (asked, got) = play(&case, seed);
+        let (asked, got) = simulate(&case, seed);
         let late =
-            |times: &[Duration]| times.iter().filter(|at| **at >= NAMED + 2 * WINDOW).count();
+            |times: &[Duration]| times.iter().filter(|at| **at >= LIMIT_START + 2 * WINDOW).count();
         let (asked, served) = (late(&asked), late(&got));
         assert!(served * 10 >= asked * 9, "seed {seed}: {served} of {asked}");
     }
 }
 
-/// Callers that a limit leaves out are told the same time to come back, and all come back at once.
+/// Callers that are over the limit are given the same time to come back, and all come back at once.
 #[test]
 fn refused_callers_come_back_one_by_one() {
     let second = Duration::from_secs(1);
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -38,7 +38,7 @@
     Request { cost, left: secs(1000), prefix, keyed: false, recovery: false, from: 0, avoid: &[] }
 }
 
-/// How many of `n` choices each VM heads.
+/// How often each VM is the head in `n` choices.
 fn heads(table: &Table, ask: &Request, now: Duration, n: usize) -> Vec<usize> {
     let mut rng = Pcg64::seed_from_u64(7);
     let mut counts = vec![0; 20];
@@ -55,9 +55,8 @@
     ejected: usize,
 }
 
-// An accelerator throttles and runs ten times slower, and every draft through it holds slots
-// elsewhere. A generation that is three times slower than another is no fault, and when
-// many look slow the cause is elsewhere.
+// An accelerator throttles and runs ten times slower, and every draft through it holds slots elsewhere. A generation
+// of accelerators that is three times slower than another is no fault, and when many look slow the cause is elsewhere.
 #[rstest]
 #[case(Eject { steps: &[10, 10, 12, 11, 10, 100], ejected: 1 })]
 #[case(Eject { steps: &[10, 10, 20, 25, 30, 30], ejected: 0 })]
@@ -75,8 +74,8 @@
     assert_eq!(out.count(), case.ejected);
 }
 
-// An ejected server that gets its full load back at once fails again with all of it. It
-// comes back with one request, and only as many more as go well.
+// An ejected server that gets its full load back at once fails again with all of it. It comes back with one request,
+// and only with as many more as succeed.
 #[test]
 fn an_ejected_server_comes_back_step_by_step() {
     let mut table = table(&[10, 10, 10, 10]);
@@ -99,8 +98,8 @@
     assert_eq!(allowed, [1, 2, 4, 8, 8]);
 }
 
-// Reports come 2 s late: the router ends and starts requests which the report doesn't know of. If it
-// believed the report, slots it has just freed would stay idle, or be taken twice.
+// Reports are 2 s late: the router ends and starts requests which the report doesn't include. If the report replaced
+// the router's own counts, slots it has just freed would stay idle, or be taken twice.
 #[test]
 fn a_late_report_does_not_undo_what_the_router_knows() {
     let mut table = table(&[10]);
@@ -125,8 +124,8 @@
     assert_eq!([0, 499, 500, 1000, 1500, 9000].map(slots), [1, 1, 2, 4, 8, 8]);
 }
 
-// A VM has just come back and is being ramped up when the only other replica of its range is lost. If it
-// were held to a slot or two for seconds, callers would wait beside idle slots.
+// A VM has just come back and is being ramped up when the only other replica of its range is lost. If it were limited
+// to a slot or two for seconds, callers would wait beside idle slots.
 #[test]
 fn the_last_replica_is_not_held_back() {
     let mut table = table(&[10, 10]);
@@ -137,7 +136,7 @@
     assert_eq!(table.room(1, secs(2)).slots, 8);
 }
 
-// A VM flaps between live and gone. Each return would move work there and lose it again.
+// A VM flaps between live and lost. Each return would move work there and lose it again.
 #[test]
 fn a_flapping_server_is_ramped_up_more_slowly_each_time() {
     let mut table = table(&[10, 10]);
@@ -153,8 +152,8 @@
     assert_eq!(full, [3000, 6000, 12_000, 24_000]);
 }
 
-// Prompts of one kind go to the replicas that have their prefix cached; when one kind is most of the
-// load its replicas must not drown in it.
+// Prompts of one kind go to the replicas that have their prefix cached; when one kind is most of the load it must not
+// overload its replicas.
 #[test]
 fn a_prefix_keeps_its_replicas_until_they_are_loaded() {
     let mut table = table(&[10; 10]);
@@ -166,7 +165,7 @@
     assert_eq!(counts[home], 0, "{counts:?}");
 }
 
-// A filing is sent again with the same key through another router: it should meet the server that knows it.
+// A call is sent again with the same key through another router: it should reach the server that knows the key.
 #[test]
 fn a_keyed_call_prefers_the_same_server_whatever_its_load() {
     let mut first = table(&[10; 3]);
@@ -178,7 +177,7 @@
     assert_eq!(heads(&first, &keyed, secs(1), 50)[home], 50);
 }
 
-// A mixed fleet is full. A fast stage behind a slow one holds its slots at the slow one's pace.
+// A mixed fleet is full. A fast stage behind a slow one holds its slots for as long as the slow one.
 #[test]
 fn fast_goes_with_fast_and_slow_with_slow() {
     let mut table = Table::new(2, Links::new(MS));
@@ -202,7 +201,7 @@
     stop: Option<Stop>,
 }
 
-// A write whose answer was lost is tried again and files twice; or a retry starts that can't end in time.
+// A write whose answer was lost is retried and takes effect twice; or a retry starts that can't end in time.
 #[rstest]
 #[case(Tried { outcome: Outcome::NotRun, tries: 1, deadline: 60, stop: None })]
 #[case(Tried { outcome: Outcome::Idempotent, tries: 1, deadline: 60, stop: None })]
@@ -219,7 +218,7 @@
     }
 }
 
-// A third of the fleet goes and everything fails: tries must not multiply the load.
+// A third of the fleet is lost and everything fails: retries must not multiply the load.
 #[test]
 fn retries_stay_under_the_budget() {
     let (mut budget, mut rng) = (Budget::default(), Pcg64::seed_from_u64(1));
@@ -235,7 +234,7 @@
     assert!((9..=10).contains(&next), "{next} retries after 100 successes");
 }
 
-// One poisoned request runs beside seven others, crashes the engine, and its caller sends it again.
+// One request that crashes the engine runs beside seven others, and its caller sends it again.
 #[test]
 fn two_crashes_find_the_culprit_and_clear_the_others() {
     let mut list = List::new(secs(600));
@@ -255,7 +254,7 @@
     assert!(matches!(peer.verdict(3, secs(5)), Verdict::Refused { .. }), "kept when full");
 }
 
-// Saturation, and a stage dies. Its drafts need slots in other replicas, all of which are full of new work.
+// Saturation, and a stage is lost. Its drafts need slots in other replicas, all of which are full of new work.
 #[rstest]
 #[case(Objective::Throughput, 8, 0)]
 #[case(Objective::Recovery, 8, 1)]
@@ -267,11 +266,11 @@
 ) {
     let mut slots = Slots::new(size, objective);
     let new = (0..100).filter(|_| slots.admit(Kind::New) == Admit::Granted).count();
-    let again = (0..100).filter(|_| slots.admit(Kind::Recovery) == Admit::Granted).count();
-    assert_eq!((new as u32, again as u32), (size - reserve, reserve));
+    let recovered = (0..100).filter(|_| slots.admit(Kind::Recovery) == Admit::Granted).count();
+    assert_eq!((new as u32, recovered as u32), (size - reserve, reserve));
 }
 
-// A suspect runs beside others and takes them down with it.
+// A suspect runs beside others and crashes the engine with them.
 #[test]
 fn a_suspect_runs_alone() {
     let mut slots = Slots::new(8, Objective::Throughput);
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -1,4 +1,4 @@
-//! Repeats within a budget that routers share without talking.
+//! Retries within a budget that routers share without communication; suspicion of servers; meters.
 
 use std::time::Duration;
 
@@ -9,9 +9,8 @@
 
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// A server that carries a quarter of the work dies again and again, and each router repeats all it
-/// can. What all of them send together in any window must stay within the common budget, or the
-/// repeats keep a slow service slow.
+/// A server that carries a quarter of the work dies again and again, and each router retries all it can. The retries
+/// of all routers together must stay within the common budget in any window, or they keep a slow service slow.
 #[rstest]
 #[case::four(4, 20)]
 #[case::many(26, 3)]
@@ -19,7 +18,7 @@
 fn all_routers_stay_within_the_common_budget(#[case] routers: u32, #[case] per_second: u32) {
     let (ratio, slack) = (0.2, 196.0);
     let mut budgets = vec![Budget::new(ratio, slack, WINDOW); routers as usize];
-    let mut repeats: Vec<Duration> = Vec::new();
+    let mut retries: Vec<Duration> = Vec::new();
     let mut requests: Vec<Duration> = Vec::new();
     for tick in 0..400 {
         let now = Duration::from_millis(100 * tick);
@@ -29,30 +28,30 @@
                 requests.extend((0..per_second).map(|_| now));
             }
             while budget.take(now, routers) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
         let within =
             |times: &[Duration]| times.iter().filter(|at| **at + WINDOW > now).count() as f64;
         let allowed = ratio * within(&requests) + slack;
-        assert!(within(&repeats) <= allowed, "{} of {allowed} at {now:?}", within(&repeats));
+        assert!(within(&retries) <= allowed, "{} of {allowed} at {now:?}", within(&retries));
     }
-    assert!(!repeats.is_empty());
+    assert!(!retries.is_empty());
 }
 
-/// Routers are restarted one after the other. Each new process knows nothing of what the one before
-/// it used, and must not use the whole part again at once.
+/// Routers are restarted one after the other. Each new process doesn't know what the previous one used, and must not
+/// use the whole share again at once.
 #[test]
-fn a_young_router_uses_a_part() {
-    let mut young = Budget::new(0.2, 196.0, WINDOW);
+fn a_new_process_uses_part_of_its_share() {
+    let mut new = Budget::new(0.2, 196.0, WINDOW);
     let mut old = Budget::new(0.2, 196.0, WINDOW);
     let used = |budget: &mut Budget, now| (0..).take_while(|_| budget.take(now, 4)).count();
-    let (young, old) = (used(&mut young, Duration::from_millis(500)), used(&mut old, WINDOW * 2));
-    assert!(young * 3 < old, "{young} of {old}");
+    let (new, old) = (used(&mut new, Duration::from_millis(500)), used(&mut old, WINDOW * 2));
+    assert!(new * 3 < old, "{new} of {old}");
 }
 
-/// A router is cut off from the store and no longer counted, but still repeats. The others must not
-/// divide its part among them.
+/// A router is cut off from the store and no longer counted, but still retries. The others must not divide its share
+/// among them.
 #[test]
 fn routers_that_vanish_are_counted_for_a_while() {
     let second = Duration::from_secs(1);
@@ -66,7 +65,7 @@
     assert_eq!(routers.count(61 * second), 5);
 }
 
-/// A server goes down and up by turns. Requests are sent to it less and less often.
+/// A server alternates between down and up. Requests are sent to it less and less often.
 #[test]
 fn flapping_servers_are_passed_over_longer() {
     let mut suspicion = Suspicion::default();
@@ -87,8 +86,8 @@
     assert!(!suspicion.is_unresolved());
 }
 
-/// A server that was passed over answers a question. It is used again at once, also by the router that
-/// gives orders, which would otherwise load its layers elsewhere for the rest of the day.
+/// A server that was passed over answers a status request. It has to be used again at once, also by the router that
+/// gives orders, which would otherwise load its layers elsewhere and keep them there.
 #[test]
 fn an_answer_ends_the_suspicion() {
     let mut suspicion = Suspicion::default();
@@ -101,7 +100,7 @@
     assert!(suspicion.holds(now + MIN_PAUSE * 2) && suspicion.is_unresolved());
 }
 
-/// Failures of requests that were under way together count once.
+/// Failures of requests that were in progress together count once.
 #[test]
 fn failures_at_once_count_once() {
     let mut suspicion = Suspicion::default();
@@ -110,8 +109,8 @@
     assert!(!suspicion.holds(now + MIN_PAUSE));
 }
 
-/// Routers send prompts over one link at several times its rate. Each stops as soon as its own
-/// part is full, so that what waits in all stays bounded; and together they still use the link.
+/// Routers send prompts over one link at several times its rate. Each stops as soon as its own part is full, so that
+/// the total that waits stays bounded; and together they still use the link.
 #[rstest]
 #[case::few(4)]
 #[case::many(26)]
@@ -134,6 +133,6 @@
         }
         assert!(waiting < 250.0 * others.sqrt() + 14.0 * others, "{waiting} ms wait at {now:?}");
     }
-    // All of the part of ten seconds that is given out.
+    // The whole capacity that is shared out in ten seconds.
     assert!(sent >= Duration::from_millis(6900), "{sent:?}");
 }
