--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -14,7 +14,7 @@
 use crate::answer::{self, Body, Reason};
 use crate::clock;
 use crate::content;
-use crate::logging::{LOSSES, Line};
+use crate::logging::{Line, MAX_LOSS_LINES_PER_S};
 use crate::notice::Notice;
 use crate::peer::Peer;
 use crate::probe;
@@ -22,19 +22,19 @@
 use crate::state::State;
 
 /// Longest time that a suspect waits for others that run alone. Its caller leaves if it takes much longer.
-const WAIT: Duration = Duration::from_millis(400);
+const MAX_ALONE_WAIT: Duration = Duration::from_millis(400);
 
 /// Time in which losses are gathered before it is looked what others are told.
-const BATCH: Duration = Duration::from_millis(20);
+const GATHER_DELAY: Duration = Duration::from_millis(20);
 
 /// Longest time until others are told again of what is refused.
-const LOOK: Duration = Duration::from_millis(500);
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The same where nothing is known of any request.
-const IDLE: Duration = Duration::from_secs(3600);
+const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
 
 /// Longest time that a request which has not begun waits until it is known whether its server has ended.
-pub const KNOWN: Duration = Duration::from_millis(50);
+pub const PROBE_WAIT: Duration = Duration::from_millis(50);
 
 /// What a router knows of such requests.
 #[derive(Debug)]
@@ -56,12 +56,12 @@
 }
 
 /// How a fingerprint is written.
-pub fn show(fingerprint: Fingerprint) -> String {
+pub fn format_fingerprint(fingerprint: Fingerprint) -> String {
     format!("{fingerprint:016x}")
 }
 
 /// Reads a fingerprint.
-pub fn read(text: &str) -> Option<Fingerprint> {
+pub fn parse_fingerprint(text: &str) -> Option<Fingerprint> {
     Fingerprint::from_str_radix(text, 16).ok()
 }
 
@@ -75,7 +75,7 @@
 }
 
 /// Whether a request is not sent now.
-pub fn is_stopped(state: &State, call: &Call) -> bool {
+pub fn is_blocked(state: &State, call: &Call) -> bool {
     matches!(verdict(state, call), Verdict::Refused { .. } | Verdict::Later { .. })
 }
 
@@ -98,7 +98,7 @@
 ) -> Result<Option<SemaphorePermit<'a>>, Reason> {
     let permit = match verdict(state, call) {
         Verdict::Alone if !begun => {
-            timeout(WAIT, state.crashes.alone.acquire()).await.ok().and_then(Result::ok)
+            timeout(MAX_ALONE_WAIT, state.crashes.alone.acquire()).await.ok().and_then(Result::ok)
         }
         _ => None,
     };
@@ -111,7 +111,12 @@
 
 /// Notes that the connection broke over which a request ran; `events` of its answer had come in all. The handle ends when it
 /// is known whether the server has ended.
-pub fn note_broken(state: &Rc<State>, call: &Call, peer: &Rc<Peer>, events: u64) -> JoinHandle<()> {
+pub fn record_broken_run(
+    state: &Rc<State>,
+    call: &Call,
+    peer: &Rc<Peer>,
+    events: u64,
+) -> JoinHandle<()> {
     let (content, description) = (call.content, content::description(&state.codec.names, call));
     let (id, bytes, workspace) = (call.id.clone(), call.size(), call.workspace.clone());
     let (server, at) = (peer.server(), state.now());
@@ -120,19 +125,21 @@
     spawn_local(async move {
         let ended = probe::refuses(&peer).await;
         state.metrics.run_broken(ended);
-        if let Line::Written(left_out) = state.losses.borrow_mut().take(state.now(), LOSSES) {
+        if let Line::Written(left_out) =
+            state.losses.borrow_mut().take(state.now(), MAX_LOSS_LINES_PER_S)
+        {
             log::info!(
                 "gateway: request={id} run=broken server={} server_ended={ended} events={events} content={} \
                  description={} bytes={bytes} workspace={} lines_left_out={left_out}",
                 server.id,
-                show(content),
-                show(description),
+                format_fingerprint(content),
+                format_fingerprint(description),
                 workspace.as_deref().unwrap_or("none"),
             );
         }
         if ended {
             let start = Start { id: server.id.clone(), born: server.born };
-            return lose(&state, content, Loss { start, at, events }, false);
+            return record_loss(&state, content, Loss { start, at, events }, false);
         }
         if news {
             state.announce(Notice::Broke { server: server.id.clone() });
@@ -147,7 +154,7 @@
     })
 }
 
-fn lose(state: &State, content: Fingerprint, loss: Loss, heard: bool) {
+fn record_loss(state: &State, content: Fingerprint, loss: Loss, heard: bool) {
     let crashes = &state.crashes;
     crashes.lost.set(crashes.lost.get() + u64::from(!heard));
     crashes.list.borrow_mut().lost(content, loss, heard);
@@ -157,7 +164,7 @@
 }
 
 /// Looks whether a server that does not answer has ended.
-pub fn note_silent(state: &Rc<State>, peer: &Rc<Peer>) {
+pub fn check_silent_server(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer, server) = (state.clone(), peer.clone(), peer.server());
     spawn_local(async move {
         if probe::refuses(&peer).await {
@@ -168,35 +175,40 @@
 }
 
 /// Notes that a run of a request got so many events.
-pub fn reached(state: &State, call: &Call, events: u64) {
+pub fn record_progress(state: &State, call: &Call, events: u64) {
     state.crashes.list.borrow_mut().reached(call.content, events);
 }
 
 /// Notes that a request came to its end.
-pub fn completed(state: &State, call: &Call) {
+pub fn record_completion(state: &State, call: &Call) {
     state.crashes.list.borrow_mut().completed(call.content, state.now());
 }
 
 /// Hears of runs that ended with their server some time ago.
-pub fn hear_lost(state: &State, start: &Start, ago: Duration, runs: &[(String, u64)]) {
+pub fn receive_losses(state: &State, start: &Start, ago: Duration, runs: &[(String, u64)]) {
     let at = state.now().saturating_sub(ago);
     for (content, events) in runs {
         let loss = Loss { start: start.clone(), at, events: *events };
-        read(content).into_iter().for_each(|content| lose(state, content, loss.clone(), true));
+        parse_fingerprint(content)
+            .into_iter()
+            .for_each(|content| record_loss(state, content, loss.clone(), true));
     }
 }
 
 /// Hears that requests are not at fault.
-pub fn hear_cleared(state: &State, contents: &[String]) {
+pub fn receive_cleared(state: &State, contents: &[String]) {
     let mut list = state.crashes.list.borrow_mut();
-    contents.iter().filter_map(|c| read(c)).for_each(|content| list.clear(content, state.now()));
+    contents
+        .iter()
+        .filter_map(|c| parse_fingerprint(c))
+        .for_each(|content| list.clear(content, state.now()));
 }
 
 /// Hears that a request is refused until then, by the wall clock in milliseconds.
-pub fn hear_refused(state: &State, content: &str, until_ms: u64, servers: u32) {
+pub fn receive_refusal(state: &State, content: &str, until_ms: u64, servers: u32) {
     let left = Duration::from_millis(until_ms).saturating_sub(clock::wall());
     let mut list = state.crashes.list.borrow_mut();
-    read(content)
+    parse_fingerprint(content)
         .into_iter()
         .for_each(|content| list.refuse(content, left, servers, state.now(), rand::random()));
     state.crashes.news.notify_one();
@@ -204,7 +216,7 @@
 
 /// Lets a request run again; whether it was known.
 pub fn lift(state: &State, content: &str) -> bool {
-    let known = read(content)
+    let known = parse_fingerprint(content)
         .is_some_and(|content| state.crashes.list.borrow_mut().lift(content, state.now()));
     log::warn!("gateway: quarantine content={content} lifted={known} why=an operator says so");
     state.crashes.news.notify_one();
@@ -212,20 +224,20 @@
 }
 
 /// Tells the other routers, as long as the process runs.
-pub async fn tell(state: Rc<State>) {
-    let mut wait = IDLE;
+pub async fn notify_routers(state: Rc<State>) {
+    let mut wait = IDLE_INTERVAL;
     loop {
         let woken = timeout(wait, state.crashes.news.notified()).await.is_ok();
-        sleep(BATCH).await;
+        sleep(GATHER_DELAY).await;
         let now = state.now();
         let news = state.crashes.list.borrow_mut().news(now, rand::random());
         wait = match state.crashes.list.borrow().counts(now) {
             // What is not told yet is due by then.
             _ if woken => GATHER,
-            (0, _) => IDLE,
-            _ => LOOK,
+            (0, _) => IDLE_INTERVAL,
+            _ => NOTIFY_INTERVAL,
         };
-        notices(news, now).into_iter().for_each(|notice| {
+        to_notices(news, now).into_iter().for_each(|notice| {
             if let Notice::Refused { content, servers, until_ms } = &notice {
                 log::warn!(
                     "gateway: quarantine content={content} servers_ended={servers} until_ms={until_ms}"
@@ -236,7 +248,7 @@
     }
 }
 
-fn notices(news: News, now: Duration) -> Vec<Notice> {
+fn to_notices(news: News, now: Duration) -> Vec<Notice> {
     let mut all: Vec<Notice> = Vec::new();
     let mut lost = news.lost;
     lost.sort_by(|(_, a), (_, b)| a.start.cmp(&b.start));
@@ -246,19 +258,22 @@
             server: loss.start.id.clone(),
             born: loss.start.born,
             ago_ms: now.saturating_sub(loss.at).as_millis() as u64,
-            runs: runs.iter().map(|(content, loss)| (show(*content), loss.events)).collect(),
+            runs: runs
+                .iter()
+                .map(|(content, loss)| (format_fingerprint(*content), loss.events))
+                .collect(),
         });
     }
     for refused in [false, true] {
         let some = news.cleared.iter().filter(|(_, was)| *was == refused);
-        let contents: Vec<String> = some.map(|(content, _)| show(*content)).collect();
+        let contents: Vec<String> = some.map(|(content, _)| format_fingerprint(*content)).collect();
         if !contents.is_empty() {
             all.push(Notice::Cleared { contents, refused });
         }
     }
     for (content, left, servers) in news.refused {
         let until_ms = (clock::wall() + left).as_millis() as u64;
-        all.push(Notice::Refused { content: show(content), until_ms, servers });
+        all.push(Notice::Refused { content: format_fingerprint(content), until_ms, servers });
     }
     all
 }
@@ -289,7 +304,7 @@
         );
         format!(
             "content={} verdict={:?} servers_ended={} {last}\n",
-            show(entry.fingerprint),
+            format_fingerprint(entry.fingerprint),
             entry.verdict,
             entry.servers
         )
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -233,7 +233,8 @@
             response
         }
         Err(reason) => {
-            let line = state.refusals.borrow_mut().take(state.now(), logging::REFUSALS);
+            let line =
+                state.refusals.borrow_mut().take(state.now(), logging::MAX_REFUSAL_LINES_PER_S);
             if let Line::Written(left_out) = line {
                 log::info!(
                     "gateway: request={id} outcome=refused why={reason} left_out={left_out}"
@@ -261,7 +262,7 @@
     state.budget(&name, |budget| budget.request(now));
     let settings = call.settings.clone();
     let model = settings.service(&name).and_then(|s| s.model.as_ref());
-    if !shutdown::takes(state, &call, model.is_some()) {
+    if !shutdown::accepts(state, &call, model.is_some()) {
         state.metrics.refused(Reason::Stopping);
         return answer::own(Reason::Stopping);
     }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -14,8 +14,8 @@
 use crate::limited;
 use crate::peer::Peer;
 use crate::pool::Link;
-use crate::repeats;
 use crate::request::Call;
+use crate::retries;
 use crate::shared_read;
 use crate::state::State;
 use crate::store::Log;
@@ -124,9 +124,9 @@
     if !peer.limited.allows(state.now()) {
         return false;
     }
-    repeats::borrow(state, &service, need).await;
+    retries::borrow(state, &service, need).await;
     let now = state.now();
-    peer.limited.allows(now) && repeats::take(state, &service, need) && peer.limited.take(now)
+    peer.limited.allows(now) && retries::take(state, &service, need) && peer.limited.take(now)
 }
 
 /// Logs what is believed of the server that a request is sent to.
@@ -191,7 +191,7 @@
         return Outcome::Unknown("the answer is to another request".to_owned());
     }
     let own = headers.contains_key(&names.stamp);
-    limited::note(state, peer, headers.get(&names.limit), own, took);
+    limited::record(state, peer, headers.get(&names.limit), own, took);
     let status = answer.status();
     if headers.contains_key(&names.not_run) || status == StatusCode::MISDIRECTED_REQUEST {
         let culprit = headers.get(&names.culprit).and_then(|v| v.to_str().ok()?.parse().ok());
--- a/crates/gateway/src/follow/news.rs
+++ b/crates/gateway/src/follow/news.rs
@@ -7,7 +7,7 @@
 
 use super::{DOUBLINGS, PAUSE, longest, rest};
 use crate::notice::{self, Notice};
-use crate::repeats;
+use crate::retries;
 use crate::roster;
 use crate::shared_read;
 use crate::state::State;
@@ -64,7 +64,7 @@
         let _ = tokio::time::timeout(PAUSE, state.changed.notified()).await;
     }
     notice::catch_up(state, &said);
-    repeats::note_read(state);
+    retries::finish_replay(state);
 }
 
 /// Hears what other routers say.
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use layers::placement::{self, Place, RETURNS, STARTED};
+use layers::placement::{self, Place, REPLACEMENT_WINDOW, RESERVE_DELAY};
 use layers::server::{Index, Zone};
 use layers::{Card, Shape, Span};
 
@@ -72,7 +72,7 @@
     let places = placement::plan(&servers, &model.shape, lasting);
     let age = |server: Index| now.saturating_sub(peers[server].since());
     let lost = |zone: Zone| lost(state, peers, zone);
-    let places = placement::keep_started(places, &servers, &model.shape, age, lost);
+    let places = placement::defer_reserves(places, &servers, &model.shape, age, lost);
     let planned = |place: &Place| Planned {
         server: peers[place.server].server().id.clone(),
         span: place.span,
@@ -84,10 +84,10 @@
 /// lost at any time; it counts for those that have just started.
 fn lost(state: &State, peers: &[Rc<Peer>], zone: Zone) -> Vec<Duration> {
     let was_here = |server: &Server| server.card.is_some() && route::zone(&server.zone) == zone;
-    let gone = state.gone_within(RETURNS).into_iter();
+    let gone = state.gone_within(REPLACEMENT_WINDOW).into_iter();
     let gone = gone.filter(|(s, _)| was_here(s) && s.state == server::State::Ready);
     let silent = peers.iter().filter(|p| p.counts_as_dead() && was_here(&p.server()));
-    gone.map(|(_, ago)| ago).chain(silent.map(|_| STARTED)).collect()
+    gone.map(|(_, ago)| ago).chain(silent.map(|_| RESERVE_DELAY)).collect()
 }
 
 /// What each data centre lacks, by name.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -27,7 +27,7 @@
 pub mod plain;
 pub mod pool;
 pub mod probe;
-pub mod repeats;
+pub mod retries;
 pub mod request;
 pub mod route;
 pub mod server;
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -26,16 +26,16 @@
 use crate::state::State;
 
 /// Time that the keeper of a ledger gets to answer. Routers are some milliseconds apart, and callers wait for it.
-const ANSWER: Duration = Duration::from_millis(100);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time for which a keeper that did not answer is passed over.
-const AVOIDED: Duration = Duration::from_secs(4);
+const OWNER_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Time after which a router that got no answer asks for permits again.
-const RETRY: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Time after which a ledger that nobody asks is dropped.
-const FORGOTTEN: Duration = Duration::from_secs(30);
+const LEDGER_TTL: Duration = Duration::from_secs(30);
 
 /// Version of a question.
 const VERSION: u16 = 1;
@@ -63,13 +63,13 @@
 
 /// What a router keeps for servers that name limits.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct Ledgers {
     ledgers: RefCell<Vec<(Id, Ledger)>>,
 }
 
 /// A question for permits as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
-struct Question {
+struct Request {
     version: u16,
     server: Id,
     router: String,
@@ -99,13 +99,13 @@
     }
 
     /// When a caller that was refused for the limit is to come back.
-    pub fn come_back(&self, routers: u32, now: Duration) -> Option<Duration> {
+    pub fn retry_after(&self, routers: u32, now: Duration) -> Option<Duration> {
         let mut limit = self.limit.borrow_mut();
         limit.as_mut().map(|limit| limit.permits.come_back(limit.per_s, routers, now))
     }
 
     /// Forgets the limit.
-    pub fn end(&self) {
+    pub fn clear(&self) {
         self.limit.take();
     }
 
@@ -153,7 +153,7 @@
 
 /// Takes what a server's answer says of its limit, to a request that was sent `took` ago. `own` says that the
 /// answer is the server's own, so that a limit it does not name has ended.
-pub fn note(
+pub fn record(
     state: &Rc<State>,
     peer: &Rc<Peer>,
     named: Option<&HeaderValue>,
@@ -172,23 +172,23 @@
     // An answer to a request of before the limit says nothing of its end.
     let ended = own && since.is_some_and(|since| since < now.saturating_sub(took));
     if (named.is_some() || ended) && peer.limited.set(named, now) {
-        say(state, peer, "its answer");
+        publish_change(state, peer, "its answer");
         let per_s_milli = named.map(|limit| (limit * 1e3).round() as u64);
         state.announce(Notice::Limit { server: peer.server().id.clone(), per_s_milli });
-        report(state, peer, since.is_none());
+        report_sent(state, peer, since.is_none());
     }
 }
 
 /// Takes over what another router read of a server's limit.
-pub fn hear(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
+pub fn receive(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
     let fresh = peer.limited.per_s().is_none();
     if peer.limited.set(per_s_milli.map(|limit| limit as f64 / 1e3), state.now()) {
-        say(state, peer, "another router says so");
-        report(state, peer, fresh);
+        publish_change(state, peer, "another router says so");
+        report_sent(state, peer, fresh);
     }
 }
 
-fn say(state: &State, peer: &Peer, why: &str) {
+fn publish_change(state: &State, peer: &Peer, why: &str) {
     let sent = peer.sent.borrow_mut().count(state.now());
     let (id, limit) = (peer.server().id.clone(), peer.limited.per_s());
     log::info!("gateway: server={id} limit={limit:?} sent_lately={sent} why={why}");
@@ -197,25 +197,25 @@
 }
 
 /// Reports to the keeper of the ledger what was sent before the limit was known: the server has had that already.
-fn report(state: &Rc<State>, peer: &Rc<Peer>, fresh: bool) {
+fn report_sent(state: &Rc<State>, peer: &Rc<Peer>, fresh: bool) {
     let sent = peer.sent.borrow_mut().count(state.now()) > 0;
     if fresh && sent && peer.limited.per_s().is_some() {
-        start(state, peer);
+        spawn_request(state, peer);
     }
 }
 
 /// Asks for permits of those servers of a service that name limits and to which `suits` applies, if it is time for that,
 /// and waits for the answers for a moment.
-pub async fn ask(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
+pub async fn request_permits(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
     let mut peers = state.of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
-    let until = Instant::now() + ANSWER;
+    let until = Instant::now() + ANSWER_TIMEOUT;
     for peer in peers {
         let limited = &peer.limited;
         let answered = async {
             while limited.may_ask(state.now()) || limited.is_asking() {
                 if !limited.is_asking() {
-                    start(state, &peer);
+                    spawn_request(state, &peer);
                 }
                 limited.answered.notified().await;
             }
@@ -230,18 +230,18 @@
 pub fn refuse(state: &State, service: &str) -> Response<Body> {
     let (now, routers) = (state.now(), state.routers());
     let peers = state.of(service);
-    let times = peers.iter().filter_map(|p| p.limited.come_back(routers, now));
+    let times = peers.iter().filter_map(|p| p.limited.retry_after(routers, now));
     answer::own_after(Reason::Limited, times.min())
 }
 
 /// Asks the keeper of a server's ledger, beside what else goes on.
-fn start(state: &Rc<State>, peer: &Rc<Peer>) {
+fn spawn_request(state: &Rc<State>, peer: &Rc<Peer>) {
     if let Some(limit) = peer.limited.limit.borrow_mut().as_mut() {
         limit.asking = true;
     }
     let (state, peer) = (state.clone(), peer.clone());
     spawn_local(async move {
-        let grant = permits(&state, &peer).await;
+        let grant = fetch_permits(&state, &peer).await;
         if let Some(limit) = peer.limited.limit.borrow_mut().as_mut() {
             limit.permits.receive(grant, state.now());
             limit.asking = false;
@@ -250,8 +250,8 @@
     });
 }
 
-async fn permits(state: &State, peer: &Peer) -> Grant {
-    let none = Grant { permits: 0, again: RETRY };
+async fn fetch_permits(state: &State, peer: &Peer) -> Grant {
+    let none = Grant { permits: 0, again: RETRY_DELAY };
     let Some(limit) = peer.limited.limit.borrow().as_ref().map(|l| (l.per_s, l.since)) else {
         return none;
     };
@@ -264,28 +264,28 @@
         // Nobody is known: each takes an equal part.
         None => {
             let limit = ask.limit.max(LEAST) / f64::from(state.routers());
-            keep(state, &id, &state.setup.vm, Ask { limit, ..ask })
+            grant(state, &id, &state.setup.vm, Ask { limit, ..ask })
         }
-        Some(member) if member.vm == state.setup.vm => keep(state, &id, &state.setup.vm, ask),
-        Some(member) => match question(state, member.address, &id, ask).await {
+        Some(member) if member.vm == state.setup.vm => grant(state, &id, &state.setup.vm, ask),
+        Some(member) => match ask_owner(state, member.address, &id, ask).await {
             Ok(grant) => grant,
             Err(why) => {
                 log::info!("gateway: server={id} keeper lost address={} why={why}", member.address);
-                state.neighbours.avoid(member.address, now, now + AVOIDED);
+                state.neighbours.avoid(member.address, now, now + OWNER_BACKOFF);
                 none
             }
         },
     }
 }
 
-async fn question(
+async fn ask_owner(
     state: &State,
     address: SocketAddr,
     server: &str,
     ask: Ask,
 ) -> Result<Grant, String> {
     let Ask { limit, free, free_age, want } = ask;
-    let question = Question {
+    let question = Request {
         version: VERSION,
         server: server.to_owned(),
         router: state.setup.vm.clone(),
@@ -295,34 +295,34 @@
         want,
     };
     let (permits, again_ms): Reply =
-        state.neighbours.ask(address, "/permits", &question, ANSWER).await?;
+        state.neighbours.ask(address, "/permits", &question, ANSWER_TIMEOUT).await?;
     Ok(Grant { permits: permits.min(want), again: Duration::from_millis(again_ms) })
 }
 
 /// Answers another router's question for permits; none if it can't be read.
-pub fn answer(state: &State, body: &[u8]) -> Option<Bytes> {
-    let question: Question = match postcard::from_bytes(body) {
+pub fn answer_request(state: &State, body: &[u8]) -> Option<Bytes> {
+    let question: Request = match postcard::from_bytes(body) {
         Ok(question) => question,
         Err(e) => {
             log::warn!("gateway: a question for permits can't be read: {e}");
             return None;
         }
     };
-    let Question { version, server, router, limit, free, free_age_ms, want } = question;
+    let Request { version, server, router, limit, free, free_age_ms, want } = question;
     if version != VERSION || !limit.is_finite() {
         return None;
     }
     let ask = Ask { limit, free, free_age: Duration::from_millis(free_age_ms), want };
-    let grant = keep(state, &server, &router, ask);
+    let grant = grant(state, &server, &router, ask);
     let reply: Reply = (grant.permits, grant.again.as_millis() as u64);
     Some(Bytes::from(postcard::to_allocvec(&reply).expect("plain fields")))
 }
 
 /// Gives permits from the ledger that this router keeps.
-fn keep(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
+fn grant(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
     let now = state.now();
     let mut ledgers = state.keeper.ledgers.borrow_mut();
-    ledgers.retain(|(_, ledger)| ledger.asked().is_some_and(|at| now < at + FORGOTTEN));
+    ledgers.retain(|(_, ledger)| ledger.asked().is_some_and(|at| now < at + LEDGER_TTL));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
         at
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -14,13 +14,13 @@
 use simplelog::{Config, ConfigBuilder, LevelFilter, WriteLogger};
 
 /// Longest time at the end of the process for the last lines to be written.
-const DRAIN: Duration = Duration::from_millis(200);
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Lines about broken runs in a second.
-pub const LOSSES: u32 = 100;
+pub const MAX_LOSS_LINES_PER_S: u32 = 100;
 
 /// Lines that wait at most: a second of the busiest measured minute.
-const LINES: usize = 2048;
+const MAX_QUEUED_LINES: usize = 2048;
 
 /// Hands lines on without waiting.
 #[derive(Debug)]
@@ -43,7 +43,7 @@
     /// Waits until all lines are written, but not for a reader that has stopped reading. Without
     /// it the last lines of a process are lost, which say how it ended.
     pub fn drain(&self) {
-        for _ in 0..DRAIN.as_millis() {
+        for _ in 0..DRAIN_TIMEOUT.as_millis() {
             if self.waiting.load(Ordering::Acquire) == 0 {
                 return;
             }
@@ -81,7 +81,7 @@
 
 /// Refusals that are logged in a second. A caller with a wrong key that asks a thousand times a second
 /// would otherwise push out the lines of everybody else.
-pub const REFUSALS: u32 = 20;
+pub const MAX_REFUSAL_LINES_PER_S: u32 = 20;
 
 /// How many lines of one sort were written in the current second.
 #[derive(Debug, Default)]
@@ -127,7 +127,7 @@
 
 /// Starts logging to standard output.
 pub fn start(level: LevelFilter) -> Result<Arc<Counts>, log::SetLoggerError> {
-    let (lines, receiver, counts) = Lines::new(LINES);
+    let (lines, receiver, counts) = Lines::new(MAX_QUEUED_LINES);
     let shared = counts.clone();
     thread::spawn(move || copy(&receiver, &shared, &mut io::stdout()));
     WriteLogger::init(level, config(), lines)?;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -11,7 +11,7 @@
 use crate::answer::Reason;
 use crate::crash;
 use crate::limited;
-use crate::repeats;
+use crate::retries;
 use crate::shared_read;
 use crate::state::State;
 
@@ -89,7 +89,7 @@
     }
 
     /// A stream was delivered to its end.
-    pub fn streamed(&self, _took: Duration) {
+    pub fn stream_complete(&self, _took: Duration) {
         self.event("stream_complete");
     }
 
@@ -99,17 +99,17 @@
     }
 
     /// A stream was cut off.
-    pub fn cut(&self) {
+    pub fn stream_cut(&self) {
         self.event("stream_cut");
     }
 
     /// A caller left.
-    pub fn left(&self) {
+    pub fn caller_left(&self) {
         self.event("caller_left");
     }
 
     /// An answer did not come in time.
-    pub fn late(&self) {
+    pub fn answer_late(&self) {
         self.event("late");
     }
 
@@ -173,7 +173,7 @@
         let reads = u8::from(shared_read::reads(state));
         text.push_str(&format!("hyssop_reads_for_others {reads}\n"));
         text.push_str(&limited::page(state));
-        text.push_str(&repeats::page(state));
+        text.push_str(&retries::page(state));
         text.push_str(&crash::page(state));
         let restores = state.store.restores();
         let odd = state.store.odd_eras();
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -12,7 +12,7 @@
 use crate::limited;
 use crate::peer::Peer;
 use crate::probe;
-use crate::repeats;
+use crate::retries;
 use crate::state::State;
 
 /// A notice to the other routers.
@@ -145,7 +145,7 @@
             Notice::Limit { .. } | Notice::Refused { .. } | Notice::Cleared { .. } => {
                 receive(state, notice);
             }
-            Notice::Heavy { at_ms } => repeats::catch_up(state, *at_ms),
+            Notice::Heavy { at_ms } => retries::replay_heavy_use(state, *at_ms),
             _ => {}
         }
     }
@@ -200,18 +200,18 @@
         }
         Notice::Limit { server, per_s_milli } => {
             if let Some(peer) = state.peer(server) {
-                limited::hear(state, &peer, *per_s_milli);
+                limited::receive(state, &peer, *per_s_milli);
             }
             return;
         }
-        Notice::Heavy { .. } => return repeats::hear(state),
+        Notice::Heavy { .. } => return retries::receive_heavy_use(state),
         Notice::Ended { server, born, ago_ms, runs } => {
             let start = Start { id: server.clone(), born: *born };
-            return crash::hear_lost(state, &start, Duration::from_millis(*ago_ms), runs);
+            return crash::receive_losses(state, &start, Duration::from_millis(*ago_ms), runs);
         }
-        Notice::Cleared { contents, .. } => return crash::hear_cleared(state, contents),
+        Notice::Cleared { contents, .. } => return crash::receive_cleared(state, contents),
         Notice::Refused { content, until_ms, servers } => {
-            return crash::hear_refused(state, content, *until_ms, *servers);
+            return crash::receive_refusal(state, content, *until_ms, *servers);
         }
         Notice::Holds { server, from, to } => {
             if let Some(peer) = state.peer(server) {
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -173,7 +173,7 @@
             self.suspicion.borrow_mut().clear();
             self.slow.set(1.0);
             self.filled.set(None);
-            self.limited.end();
+            self.limited.clear();
             self.breaks.take();
             self.broke.set(None);
         }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -18,8 +18,8 @@
 use crate::exchange::{self, Outcome};
 use crate::limited;
 use crate::peer::{Load, Peer};
-use crate::repeats;
 use crate::request::Call;
+use crate::retries;
 use crate::state::State;
 
 /// Servers asked for one request at most, counting those that decline it.
@@ -77,7 +77,7 @@
     let (asked, fallback) = (Vec::new(), answer::own(Reason::NoServer));
     let mut progress = Progress { state, call, service, asked, ran: 0, looked: None, fallback };
     let mut pending = FuturesUnordered::new();
-    limited::ask(state, service, |_| true).await;
+    limited::request_permits(state, service, |_| true).await;
     let mut next = choose(state, service, &progress.asked);
     if next.is_none() && over_limit(state, service) {
         return limited::refuse(state, service);
@@ -128,14 +128,14 @@
     /// Another server, if there is one and a repeat is left for it.
     async fn repeat(&mut self) -> Option<Rc<Peer>> {
         if let Some(looked) = self.looked.take() {
-            let _ = timeout(crash::KNOWN, looked).await;
+            let _ = timeout(crash::PROBE_WAIT, looked).await;
         }
-        if crash::is_stopped(self.state, self.call) {
+        if crash::is_blocked(self.state, self.call) {
             return None;
         }
         let other = choose(self.state, self.service, &self.asked)?;
-        repeats::borrow(self.state, self.service, Need::New).await;
-        repeats::take(self.state, self.service, Need::New).then_some(other)
+        retries::borrow(self.state, self.service, Need::New).await;
+        retries::take(self.state, self.service, Need::New).then_some(other)
     }
 
     /// Takes over what came of asking a server; the caller's answer if it is that.
@@ -144,7 +144,7 @@
         match tried {
             Tried::Answered(head, body) => {
                 self.ran += 1;
-                crash::completed(state, call);
+                crash::record_completion(state, call);
                 peer.went_on();
                 let answer = answer::whole(head, body);
                 let better = call.route.class.repeatable() && (running > 0 || self.may_ask(0));
@@ -171,7 +171,7 @@
             }
             Tried::Broken | Tried::Unknown(_) => {
                 self.ran += 1;
-                self.looked = Some(crash::note_broken(state, call, peer, 0));
+                self.looked = Some(crash::record_broken_run(state, call, peer, 0));
                 if let Tried::Unknown(why) = tried {
                     let id = &peer.server().id;
                     log::info!(
@@ -229,7 +229,7 @@
         peer.server().id,
         call.came.elapsed()
     );
-    state.metrics.late();
+    state.metrics.answer_late();
     answer::own(Reason::Late)
 }
 
@@ -237,7 +237,7 @@
 /// would take the few servers of the service from all of them, and each finds out by one connection.
 fn pass_over(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
     if peer.fail(state.now()) {
-        crash::note_silent(state, peer);
+        crash::check_silent_server(state, peer);
         log::warn!("gateway: server={} suspect=true why={why}", peer.server().id);
     }
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -241,7 +241,7 @@
 /// Passes over a server and tells the other routers.
 pub fn suspect(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
     if peer.fail(state.now()) {
-        crash::note_silent(state, peer);
+        crash::check_silent_server(state, peer);
         let server = peer.server();
         log::warn!("gateway: server={} suspect=true why={why}", server.id);
         state.metrics.suspected();
--- a/crates/gateway/src/repeats.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,4 +1,4 @@
-//! Repeats of requests, out of the budget that all routers share.
+//! Retries of requests, out of the budget that all routers share.
 //!
 //! A router uses its own part of the budget of a service ([`policy::window`]) and borrows from others when that is used up
 //! ([`policy::loan`]). What waits for repeats is asked for together, by datagrams: a question is worth nothing after a
@@ -23,30 +23,30 @@
 use crate::count::Counted;
 use crate::logging::{Line, Quota};
 use crate::state::State;
-use datagram::Post;
+use datagram::Endpoint;
 pub use datagram::run;
-use handover::Succession;
+use handover::Status;
 pub use handover::{hand_over, take_over};
 use heavy::Heavy;
-pub use heavy::{before, catch_up, hear, note_read};
+pub use heavy::{finish_replay, predecessor, receive_heavy_use, replay_heavy_use};
 
 /// Time after which others are asked beside a router that has not answered.
-const ANSWER: Duration = Duration::from_millis(30);
+const HEDGE_DELAY: Duration = Duration::from_millis(30);
 
 /// Longest time that something waits for repeats of others.
-const WAIT: Duration = Duration::from_millis(100);
+const MAX_BORROW_WAIT: Duration = Duration::from_millis(100);
 
 /// Lines about loans in a second.
-const LINES: u32 = 10;
+const MAX_LINES_PER_S: u32 = 10;
 
 /// What a router has of others' parts of the budgets.
 #[derive(Debug, Default)]
-pub struct Repeats {
+pub struct Retries {
     /// Sorted by service and need.
-    purses: RefCell<Vec<(Key, Rc<Purse>)>>,
-    post: Post,
+    accounts: RefCell<Vec<(Key, Rc<Account>)>>,
+    endpoint: Endpoint,
     heavy: Heavy,
-    succession: Succession,
+    handover: Status,
     lines: RefCell<Quota>,
     lent: Cell<u64>,
     borrowed: Cell<u64>,
@@ -58,7 +58,7 @@
 
 /// What it has of one service's for one kind of need.
 #[derive(Debug, Default)]
-struct Purse {
+struct Account {
     borrower: RefCell<Borrower<SocketAddr>>,
     /// Answers that wait for repeats.
     waiting: Cell<u32>,
@@ -68,41 +68,41 @@
     answered: Notify,
 }
 
-impl Purse {
+impl Account {
     /// Answers that wait for a repeat and for which none is held.
     fn short(&self, now: Duration) -> u32 {
         self.waiting.get().saturating_sub(self.borrower.borrow_mut().held(now) as u32)
     }
 }
 
-impl Repeats {
+impl Retries {
     /// Whether this process uses and lends nothing more of its own parts.
     pub fn has_ended(&self) -> bool {
-        self.succession.has_ended()
+        self.handover.has_ended()
     }
 
     /// Asks a router again that did not answer, as it gives a sign of life.
-    pub(crate) fn trust(&self, lender: SocketAddr) {
-        let purses = self.purses.borrow();
-        purses.iter().for_each(|(_, purse)| purse.borrower.borrow_mut().trust(lender));
+    pub(crate) fn mark_alive(&self, lender: SocketAddr) {
+        let accounts = self.accounts.borrow();
+        accounts.iter().for_each(|(_, account)| account.borrower.borrow_mut().trust(lender));
     }
 
-    fn of(&self, service: &str, need: Need) -> Rc<Purse> {
-        let mut purses = self.purses.borrow_mut();
+    fn account(&self, service: &str, need: Need) -> Rc<Account> {
+        let mut accounts = self.accounts.borrow_mut();
         let key = (service, need);
-        let found = purses.binary_search_by(|((name, need), _)| (name.as_str(), *need).cmp(&key));
+        let found = accounts.binary_search_by(|((name, need), _)| (name.as_str(), *need).cmp(&key));
         let at = found.unwrap_or_else(|at| {
-            purses.insert(at, ((service.to_owned(), need), Rc::default()));
+            accounts.insert(at, ((service.to_owned(), need), Rc::default()));
             at
         });
-        purses[at].1.clone()
+        accounts[at].1.clone()
     }
 }
 
 /// Whether a repeat of a service is there for a need.
-pub fn has(state: &State, service: &str, need: Need) -> bool {
+pub fn is_available(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    state.repeats.of(service, need).borrower.borrow_mut().held(now) > 0
+    state.repeats.account(service, need).borrower.borrow_mut().held(now) > 0
         || state.budget(service, |budget| budget.left_for(need, now, routers)) > 0
 }
 
@@ -113,16 +113,16 @@
     }
     let now = state.now();
     let others = state.sharing.others(now);
-    state.repeats.of(service, need).borrower.borrow_mut().may_ask(&others, now)
+    state.repeats.account(service, need).borrower.borrow_mut().may_ask(&others, now)
 }
 
 /// Takes one repeat, if there is one.
 pub fn take(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    let taken = state.repeats.of(service, need).borrower.borrow_mut().take(now)
+    let taken = state.repeats.account(service, need).borrower.borrow_mut().take(now)
         || state.budget(service, |budget| budget.take_for(need, now, routers));
     match taken {
-        true => heavy::note_use(state, service),
+        true => heavy::report_use(state, service),
         false => {
             state.repeats.refused.set(state.repeats.refused.get() + 1);
             state.metrics.budget_empty();
@@ -133,33 +133,33 @@
 
 /// Waits for a moment until a repeat is there, or others have none.
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
-    let purse = state.repeats.of(service, need);
-    let until = Instant::now() + WAIT;
-    let _waits = Counted::new(&purse.waiting);
-    while !has(state, service, need) {
-        if !purse.asking.get() {
+    let account = state.repeats.account(service, need);
+    let until = Instant::now() + MAX_BORROW_WAIT;
+    let _waits = Counted::new(&account.waiting);
+    while !is_available(state, service, need) {
+        if !account.asking.get() {
             if !may_borrow(state, service, need) {
                 return;
             }
-            purse.asking.set(true);
-            spawn_local(ask_others(state.clone(), service.to_owned(), need, purse.clone()));
+            account.asking.set(true);
+            spawn_local(ask_others(state.clone(), service.to_owned(), need, account.clone()));
         }
-        if timeout_at(until, purse.answered.notified()).await.is_err() {
+        if timeout_at(until, account.answered.notified()).await.is_err() {
             return;
         }
     }
 }
 
 /// Asks other routers for all that waits.
-async fn ask_others(state: Rc<State>, service: String, need: Need, purse: Rc<Purse>) {
+async fn ask_others(state: Rc<State>, service: String, need: Need, account: Rc<Account>) {
     let (began, routers) = (state.now(), state.routers());
     let part = state.budget(&service, |budget| budget.part(began, routers));
     let others = state.sharing.others(began);
-    let mut round = purse.borrower.borrow_mut().round(&others, 0, part, began, &mut rand::rng());
+    let mut round = account.borrower.borrow_mut().round(&others, 0, part, began, &mut rand::rng());
     let (sender, mut answers) = mpsc::unbounded_channel();
     let (mut asked, mut wanted) = (0, 0);
     loop {
-        let short = purse.short(state.now());
+        let short = account.short(state.now());
         wanted += short.saturating_sub(round.want());
         round.raise(short);
         let mut open = round.wave();
@@ -168,20 +168,20 @@
         }
         asked += open.len();
         for ask in &open {
-            let borrowed = borrow_of(
+            let borrowed = ask_lender(
                 state.clone(),
                 service.clone(),
                 need,
-                purse.clone(),
+                account.clone(),
                 ask.clone(),
                 sender.clone(),
             );
             spawn_local(borrowed);
         }
-        let until = Instant::now() + ANSWER;
+        let until = Instant::now() + HEDGE_DELAY;
         while !open.is_empty() {
             let Ok(Some((lender, loan))) = timeout_at(until, answers.recv()).await else { break };
-            purse.answered.notify_waiters();
+            account.answered.notify_waiters();
             if let Some(at) = open.iter().position(|ask: &Ask<_>| ask.lenders[0] == lender) {
                 match loan {
                     Some(loan) => round.note(open.swap_remove(at), loan),
@@ -191,9 +191,9 @@
         }
         open.into_iter().for_each(|ask| round.lost(ask));
     }
-    purse.asking.set(false);
-    purse.answered.notify_waiters();
-    if let Line::Written(left_out) = state.repeats.lines.borrow_mut().take(began, LINES) {
+    account.asking.set(false);
+    account.answered.notify_waiters();
+    if let Line::Written(left_out) = state.repeats.lines.borrow_mut().take(began, MAX_LINES_PER_S) {
         let (refused, took) = (round.want(), state.now().saturating_sub(began));
         log::info!(
             "gateway: repeats service={service} need={need:?} part={part} wanted={wanted} borrowed={} \
@@ -205,18 +205,18 @@
 }
 
 /// Asks one router, and tells the round what it lends. What it lends later than the round waits is used by what waits then.
-async fn borrow_of(
+async fn ask_lender(
     state: Rc<State>,
     service: String,
     need: Need,
-    purse: Rc<Purse>,
+    account: Rc<Account>,
     ask: Ask<SocketAddr>,
     round: mpsc::UnboundedSender<(SocketAddr, Option<Loan>)>,
 ) {
     let (asked, lender) = (state.now(), ask.lenders[0]);
     let loan = datagram::ask(&state, &service, need, &ask, HELD).await;
     let now = state.now();
-    let mut borrower = purse.borrower.borrow_mut();
+    let mut borrower = account.borrower.borrow_mut();
     match loan {
         Some(loan) => {
             borrower.receive(&ask, loan, asked, now);
@@ -230,7 +230,7 @@
     drop(borrower);
     // The round has ended if this came late.
     let _ = round.send((lender, loan));
-    purse.answered.notify_waiters();
+    account.answered.notify_waiters();
 }
 
 /// Lines for the metrics: this router's parts of the budgets, what is left of them, and loans.
--- a/crates/gateway/src/repeats/datagram.rs
+++ b/crates/gateway/src/retries/datagram.rs
@@ -21,18 +21,18 @@
 const VERSION: u16 = 1;
 
 /// Longest datagram, in bytes: a service's name, and the addresses of twenty routers.
-const LONGEST: usize = 1200;
+const MAX_DATAGRAM_BYTES: usize = 1200;
 
 /// What routers send each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Datagram {
-    Ask(Question),
-    Loan(Answer),
+    Ask(LoanRequest),
+    Loan(LoanReply),
 }
 
 /// A question for repeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Question {
+pub(super) struct LoanRequest {
     version: u16,
     /// Number of the question, which its answer names.
     id: u64,
@@ -44,7 +44,7 @@
     pub(super) others: Vec<SocketAddr>,
 }
 
-impl Question {
+impl LoanRequest {
     pub(super) fn need(&self) -> Need {
         if self.begun { Need::Begun } else { Need::New }
     }
@@ -52,7 +52,7 @@
 
 /// What is lent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Answer {
+struct LoanReply {
     version: u16,
     id: u64,
     lent: u32,
@@ -62,7 +62,7 @@
 
 /// The socket, and the questions that are open.
 #[derive(Debug, Default)]
-pub(super) struct Post {
+pub(super) struct Endpoint {
     socket: OnceCell<Rc<UdpSocket>>,
     next: Cell<u64>,
     open: RefCell<Vec<(u64, SocketAddr, oneshot::Sender<Loan>)>>,
@@ -78,8 +78,8 @@
             );
         }
     };
-    state.repeats.post.socket.get_or_init(|| socket.clone());
-    let mut buffer = [0; LONGEST];
+    state.repeats.endpoint.socket.get_or_init(|| socket.clone());
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -94,27 +94,27 @@
             log::debug!("gateway: a datagram of {from}, which is no member, is left out");
             continue;
         }
-        state.repeats.trust(from);
+        state.repeats.mark_alive(from);
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Ask(question)) if question.version == VERSION => {
-                receive_question(&state, question, from).await;
+                receive_request(&state, question, from).await;
             }
             Ok(Datagram::Loan(answer)) if answer.version == VERSION => {
-                receive_answer(&state, &answer, from);
+                receive_reply(&state, &answer, from);
             }
             other => log::debug!("gateway: a datagram of {from} is left out: {other:?}"),
         }
     }
 }
 
-async fn receive_question(state: &Rc<State>, question: Question, from: SocketAddr) {
+async fn receive_request(state: &Rc<State>, question: LoanRequest, from: SocketAddr) {
     let loan = lender::lend(state, &question.service, question.need(), question.want);
     if loan.lent == question.want || question.others.is_empty() {
         return answer(state, question.id, loan, from).await;
     }
     let state = state.clone();
     spawn_local(async move {
-        let more = lender::ask_for(&state, &question, question.want - loan.lent).await;
+        let more = lender::ask_others_for(&state, &question, question.want - loan.lent).await;
         let loan = Loan { lent: loan.lent + more.lent, again: loan.again.min(more.again) };
         answer(&state, question.id, loan, from).await;
     });
@@ -122,14 +122,14 @@
 
 async fn answer(state: &State, id: u64, loan: Loan, to: SocketAddr) {
     let again_ms = loan.again.as_millis() as u64;
-    let answer = Answer { version: VERSION, id, lent: loan.lent, again_ms };
+    let answer = LoanReply { version: VERSION, id, lent: loan.lent, again_ms };
     if let Err(e) = send(state, &Datagram::Loan(answer), to).await {
         log::debug!("gateway: a loan was not sent to {to}: {e}");
     }
 }
 
-fn receive_answer(state: &State, answer: &Answer, from: SocketAddr) {
-    let mut open = state.repeats.post.open.borrow_mut();
+fn receive_reply(state: &State, answer: &LoanReply, from: SocketAddr) {
+    let mut open = state.repeats.endpoint.open.borrow_mut();
     let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
@@ -141,7 +141,7 @@
 
 async fn send(state: &State, datagram: &Datagram, to: SocketAddr) -> io::Result<()> {
     let bytes = postcard::to_allocvec(datagram).expect("plain fields");
-    match state.repeats.post.socket.get() {
+    match state.repeats.endpoint.socket.get() {
         Some(socket) => socket.send_to(&bytes, to).await.map(drop),
         None => Err(io::ErrorKind::NotConnected.into()),
     }
@@ -155,12 +155,13 @@
     ask: &Ask<SocketAddr>,
     limit: Duration,
 ) -> Option<Loan> {
-    let (post, to) = (&state.repeats.post, ask.lenders[0]);
+    let (endpoint, to) = (&state.repeats.endpoint, ask.lenders[0]);
     // A late answer to the process before this one is none to a question of this one.
-    let id = state.sharing.incarnation().wrapping_add(post.next.replace(post.next.get() + 1));
+    let id =
+        state.sharing.incarnation().wrapping_add(endpoint.next.replace(endpoint.next.get() + 1));
     let (sender, answered) = oneshot::channel();
-    post.open.borrow_mut().push((id, to, sender));
-    let question = Question {
+    endpoint.open.borrow_mut().push((id, to, sender));
+    let question = LoanRequest {
         version: VERSION,
         id,
         service: service.to_owned(),
@@ -175,6 +176,6 @@
             None
         }
     };
-    post.open.borrow_mut().retain(|(open, ..)| *open != id);
+    endpoint.open.borrow_mut().retain(|(open, ..)| *open != id);
     loan.map(|loan| Loan { lent: loan.lent.min(ask.want), ..loan })
 }
--- a/crates/gateway/src/repeats/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -23,23 +23,23 @@
 use crate::store::{Call, Era, Fault, Offset, Reply};
 
 /// Longest wait of a process that starts before it writes that down, so that hundreds do not do so at once.
-const SPREAD: Duration = Duration::from_millis(200);
+const MAX_START_DELAY: Duration = Duration::from_millis(200);
 
 /// Time that a process which ends gets to hand over.
-const LAST: Duration = Duration::from_millis(150);
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Pause after the store did not take the record of a start.
-const AGAIN: Duration = Duration::from_secs(1);
+const START_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Time after its end for which what a process handed over counts.
-const LATEST: Duration = Duration::from_secs(5);
+const MAX_HANDOVER_AGE: Duration = Duration::from_secs(5);
 
 /// Records before its own that a process looks at. Older ones may have been deleted, and a read that begins with one of
 /// those gives nothing; an answer may also hold fewer than there are.
-const BACK: [Offset; 3] = [256, 16, 1];
+const READ_BACK: [Offset; 3] = [256, 16, 1];
 
 /// Most by which the clocks of one VM may differ in the time between two processes.
-const AGREE: Duration = Duration::from_millis(100);
+const MAX_CLOCK_SKEW: Duration = Duration::from_millis(100);
 
 /// A record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -90,7 +90,7 @@
 
 /// What is known of the processes before and after this one.
 #[derive(Debug, Default)]
-pub(super) struct Succession {
+pub(super) struct Status {
     /// Offset after the record of this process's start, and the era that it belongs to.
     started: Cell<Option<(Offset, Era)>>,
     /// Whether what the process before used is counted.
@@ -99,7 +99,7 @@
     ended: Cell<bool>,
 }
 
-impl Succession {
+impl Status {
     pub(super) fn has_taken_over(&self) -> bool {
         self.taken.get()
     }
@@ -114,29 +114,29 @@
     if state.setup.first_start {
         return;
     }
-    sleep(SPREAD.mul_f64(rand::random())).await;
+    sleep(MAX_START_DELAY.mul_f64(rand::random())).await;
     let before = loop {
-        match open(&state).await {
+        match record_start(&state).await {
             Ok(before) => break before,
             Err(why) => log::info!("gateway: repeats not taken_over why={why}"),
         }
-        sleep(AGAIN).await;
+        sleep(START_RETRY_DELAY).await;
         while state.store_away() {
-            sleep(AGAIN).await;
+            sleep(START_RETRY_DELAY).await;
         }
     };
     let own = state.sharing.incarnation();
     match before.into_iter().rfind(|record| record.process() != own) {
         Some(Record::End { era, clock_ms, boot_ms, services, .. }) => {
             // A copy that the store came back from may lack records of processes in between.
-            let gap = gap(&state, clock_ms, boot_ms).filter(|gap| *gap < LATEST);
+            let gap = gap(&state, clock_ms, boot_ms).filter(|gap| *gap < MAX_HANDOVER_AGE);
             let Some(gap) = gap.filter(|_| era == state.store.era()) else {
                 return log::info!("gateway: repeats not taken_over why=unknown age era={era}");
             };
             for (service, handover) in &services {
                 state.budget(service, |budget| budget.take_over(handover, gap));
             }
-            state.repeats.succession.taken.set(true);
+            state.repeats.handover.taken.set(true);
             let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
             log::info!("gateway: repeats taken_over used={used} gap={gap:?}");
         }
@@ -148,12 +148,12 @@
 }
 
 /// Writes down that this process has started; records of this VM before that, the oldest first.
-async fn open(state: &State) -> Result<Vec<Record>, Fault> {
+async fn record_start(state: &State) -> Result<Vec<Record>, Fault> {
     let (vm, process) = (state.setup.vm.clone(), state.sharing.incarnation());
     let end = append(state, &Record::Start { vm: vm.clone(), process }, None).await?;
-    state.repeats.succession.started.set(Some((end, state.store.era())));
+    state.repeats.handover.started.set(Some((end, state.store.era())));
     let own = end.saturating_sub(1);
-    for from in BACK.map(|back| own.saturating_sub(back)) {
+    for from in READ_BACK.map(|back| own.saturating_sub(back)) {
         let count = (own - from) as usize;
         match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await {
             Ok(Reply::Records(records, _)) if records.len() >= count => {
@@ -184,28 +184,30 @@
         clock.checked_sub(now)?.checked_sub(Duration::from_millis(then))
     };
     let (wall, boot) = (since(clock::wall(), clock_ms)?, since(clock::boot(), boot_ms)?);
-    (wall.abs_diff(boot) <= AGREE).then_some(wall.min(boot))
+    (wall.abs_diff(boot) <= MAX_CLOCK_SKEW).then_some(wall.min(boot))
 }
 
 /// Ends the use of repeats, and hands over to the next process.
 pub async fn hand_over(state: &State) {
-    state.repeats.succession.ended.set(true);
+    state.repeats.handover.ended.set(true);
     let Some(services) = state.close_budgets() else {
         return log::info!("gateway: repeats not handed_over why=this process is young");
     };
     let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
-    match timeout(LAST, write_end(state, services)).await {
+    match timeout(HANDOVER_TIMEOUT, write_end(state, services)).await {
         Ok(Ok(())) => log::info!("gateway: repeats handed_over used={used}"),
         Ok(Err(why)) => log::info!("gateway: repeats not handed_over why={why}"),
-        Err(_) => log::info!("gateway: repeats not handed_over why=no answer within {LAST:?}"),
+        Err(_) => {
+            log::info!("gateway: repeats not handed_over why=no answer within {HANDOVER_TIMEOUT:?}")
+        }
     }
 }
 
 async fn write_end(state: &State, services: Vec<(String, Handover)>) -> Result<(), Fault> {
-    let started = state.repeats.succession.started.get();
+    let started = state.repeats.handover.started.get();
     let mut at = match started.filter(|(_, era)| *era == state.store.era()) {
         Some((at, _)) => at,
-        None => reopen(state).await?,
+        None => rerecord_start(state).await?,
     };
     let record = Record::End {
         vm: state.setup.vm.clone(),
@@ -222,16 +224,16 @@
             Err(fault) => return Err(fault),
         }
         at = match after_others(state, at).await {
-            Err(Fault::Gone) => reopen(state).await?,
+            Err(Fault::Gone) => rerecord_start(state).await?,
             end => end?,
         };
     }
 }
 
 /// Writes the start down again, as the record of it was deleted or never written; the offset after it.
-async fn reopen(state: &State) -> Result<Offset, Fault> {
-    let (before, own) = (open(state).await?, state.sharing.incarnation());
-    let started = state.repeats.succession.started.get();
+async fn rerecord_start(state: &State) -> Result<Offset, Fault> {
+    let (before, own) = (record_start(state).await?, state.sharing.incarnation());
+    let started = state.repeats.handover.started.get();
     match (before.last(), started) {
         // Another process has started since; it does not know that this one still runs.
         (Some(last), _) if last.process() != own => Err(Fault::Moved { end: None }),
--- a/crates/gateway/src/repeats/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -14,10 +14,10 @@
 use crate::state::State;
 
 /// Time after which heavy use that goes on is told again.
-const AGAIN: Duration = Duration::from_secs(4);
+const REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
 /// Most by which the clocks of two VMs differ.
-const CLOCKS: Duration = Duration::from_secs(10);
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 /// What is known of heavy use.
 #[derive(Debug, Default)]
@@ -28,9 +28,9 @@
 }
 
 /// Tells the others if this router uses its part heavily and nobody has just said so.
-pub(super) fn note_use(state: &State, service: &str) {
+pub(super) fn report_use(state: &State, service: &str) {
     let (now, routers) = (state.now(), state.routers());
-    let fresh = |told: Duration| now < told + AGAIN;
+    let fresh = |told: Duration| now < told + REPORT_INTERVAL;
     if state.repeats.heavy.told.get().is_some_and(fresh)
         || !state.budget(service, |budget| budget.is_heavy(now, routers))
     {
@@ -42,20 +42,20 @@
 }
 
 /// Hears of heavy use.
-pub fn hear(state: &State) {
+pub fn receive_heavy_use(state: &State) {
     state.repeats.heavy.told.set(Some(state.now()));
 }
 
 /// Takes over what was said of heavy use before this process started.
-pub fn catch_up(state: &State, at_ms: u64) {
+pub fn replay_heavy_use(state: &State, at_ms: u64) {
     let age = clock::wall().saturating_sub(Duration::from_millis(at_ms));
-    if age < AGAIN + state.setup.retry_window + CLOCKS {
-        hear(state);
+    if age < REPORT_INTERVAL + state.setup.retry_window + MAX_CLOCK_SKEW {
+        receive_heavy_use(state);
     }
 }
 
 /// Notes that all that was said before this process started was taken over.
-pub fn note_read(state: &State) {
+pub fn finish_replay(state: &State) {
     let heavy = &state.repeats.heavy;
     let before = if heavy.told.get().is_some() { Before::Unknown } else { Before::Light };
     heavy.before.set(before);
@@ -63,12 +63,12 @@
 }
 
 /// What is known of the process before this one.
-pub fn before(state: &State) -> Before {
+pub fn predecessor(state: &State) -> Before {
     // Until the members are known, a part may be taken for larger than it is.
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
     match () {
         () if state.setup.first_start => Before::First,
-        () if state.repeats.succession.has_taken_over() && member => Before::Told,
+        () if state.repeats.handover.has_taken_over() && member => Before::Told,
         () => state.repeats.heavy.before.get(),
     }
 }
--- a/crates/gateway/src/repeats/lender.rs
+++ b/crates/gateway/src/retries/lender.rs
@@ -8,33 +8,33 @@
 use policy::window::Need;
 use tokio::time::Instant;
 
-use super::datagram::{self, Question};
-use super::{ANSWER, heavy};
+use super::datagram::{self, LoanRequest};
+use super::{HEDGE_DELAY, heavy};
 use crate::state::State;
 
 /// Time after which a router that does not know a service is asked again.
-const UNKNOWN: Duration = Duration::from_secs(1);
+const UNKNOWN_SERVICE_DELAY: Duration = Duration::from_secs(1);
 
 /// Lends repeats out of this router's own part.
 pub(super) fn lend(state: &State, service: &str, need: Need, want: u32) -> Loan {
     let (now, routers) = (state.now(), state.routers());
     let known = state.settings().is_some_and(|settings| settings.service(service).is_some());
     if !known {
-        return Loan { lent: 0, again: UNKNOWN };
+        return Loan { lent: 0, again: UNKNOWN_SERVICE_DELAY };
     }
     let loan = state.budget(service, |budget| budget.lend(need, want, now, routers));
     state.repeats.lent.set(state.repeats.lent.get() + u64::from(loan.lent));
-    heavy::note_use(state, service);
+    heavy::report_use(state, service);
     loan
 }
 
 /// Asks members of the group in the name of another router, for what this one can't lend itself.
-pub(super) async fn ask_for(state: &State, question: &Question, want: u32) -> Loan {
+pub(super) async fn ask_others_for(state: &State, question: &LoanRequest, want: u32) -> Loan {
     let members = state.sharing.others(state.now());
     let known = question.others.iter().copied();
     let known: Vec<SocketAddr> =
         known.filter(|other| members.binary_search(other).is_ok()).collect();
-    let until = Instant::now() + ANSWER / 2;
+    let until = Instant::now() + HEDGE_DELAY / 2;
     let mut all = Loan { lent: 0, again: Duration::MAX };
     let mut round = Round::each(&known, want);
     loop {
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use layers::path::{self, Ask, Holder};
+use layers::path::{self, Holder, Query};
 use layers::server::Zone;
 use layers::{Shape, Span, slots};
 use policy::fill::Told;
@@ -235,7 +235,7 @@
         let spread = if want.from > 0 { spread(luck, (from, to)) } else { 0.0 };
         (CROSS + spread) * whole + tokens.answer * shape.cross_ms + millis(waiting)
     };
-    let ask = Ask {
+    let ask = Query {
         from: want.from,
         layers: shape.layers,
         zone: want.zone,
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -127,7 +127,7 @@
     ) -> Option<Charge> {
         let entry = peer.server();
         let card = entry.card.as_deref().and_then(|name| model.card(name))?;
-        let ms = model.shape.reading_ms(&card, span.len(), peer.slow.get(), tokens.prompt);
+        let ms = model.shape.prefill_ms(&card, span.len(), peer.slow.get(), tokens.prompt);
         let work = Duration::from_secs_f64(ms / 1e3);
         Some(Charge { at: Place::Server(peer.clone()), work, share: 1.0 / crowd.others })
     }
--- a/crates/gateway/src/shared_read/server.rs
+++ b/crates/gateway/src/shared_read/server.rs
@@ -37,7 +37,7 @@
         "/tail" => page(state, query).await,
         "/all" => all(state, query).await,
         "/told" => listen(state, body).await,
-        "/permits" => read(body).await.and_then(|body| limited::answer(state, &body)),
+        "/permits" => read(body).await.and_then(|body| limited::answer_request(state, &body)),
         _ => None,
     };
     let mut response = Response::new(Full::new(body.clone().unwrap_or_default()));
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -16,12 +16,12 @@
 use tokio::time::Instant;
 
 use crate::crash::Crashes;
-use crate::limited::Keeper;
+use crate::limited::Ledgers;
 use crate::logging::Quota;
 use crate::metrics::Metrics;
 use crate::neighbours::Neighbours;
 use crate::peer::Peer;
-use crate::repeats::{self, Repeats};
+use crate::retries::{self, Retries};
 use crate::roster::Member;
 use crate::server::{Id, Server};
 use crate::settings::Settings;
@@ -112,9 +112,9 @@
     /// What it knows of requests that end servers.
     pub crashes: Crashes,
     /// What it keeps for servers that name limits.
-    pub keeper: Keeper,
+    pub keeper: Ledgers,
     /// Repeats that it borrowed from others.
-    pub repeats: Repeats,
+    pub repeats: Retries,
     /// Connections to other routers.
     pub neighbours: Neighbours,
     /// Lines about refused requests.
@@ -163,8 +163,8 @@
             tenure: RefCell::default(),
             sharing: Sharing::default(),
             crashes: Crashes::default(),
-            keeper: Keeper::default(),
-            repeats: Repeats::default(),
+            keeper: Ledgers::default(),
+            repeats: Retries::default(),
             neighbours: Neighbours::default(),
             refusals: RefCell::default(),
             losses: RefCell::default(),
@@ -312,7 +312,7 @@
             }
         };
         let budget = &mut budgets[at].1;
-        budget.follow(repeats::before(self));
+        budget.follow(retries::predecessor(self));
         if let Some((rank, routers)) = self.sharing.rank().filter(|(_, routers)| *routers > 1) {
             budget.rank(rank, routers);
         }
@@ -321,7 +321,7 @@
 
     /// Ends the use of all retry budgets; what counts of each for the next process, if that is known.
     pub fn close_budgets(&self) -> Option<Vec<(String, Handover)>> {
-        let (now, before) = (self.now(), repeats::before(self));
+        let (now, before) = (self.now(), retries::predecessor(self));
         let mut closed = Vec::new();
         for (name, budget) in self.budgets.borrow_mut().iter_mut() {
             budget.follow(before);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -291,8 +291,8 @@
                 continue;
             }
             Next::End => {
-                progress.state.metrics.streamed(progress.call.came.elapsed());
-                crash::completed(progress.state, progress.call);
+                progress.state.metrics.stream_complete(progress.call.came.elapsed());
+                crash::record_completion(progress.state, progress.call);
                 progress.state.note_lasting(progress.call.came.elapsed());
                 return source.answer.done();
             }
@@ -323,7 +323,7 @@
         match opened {
             Some((fresh, event)) => (source, next) = (fresh, Next::Event(event)),
             None => {
-                progress.state.metrics.cut();
+                progress.state.metrics.stream_cut();
                 log::warn!(
                     "gateway: request={} outcome=cut {}",
                     progress.call.id,
@@ -339,7 +339,7 @@
 
 impl Progress<'_> {
     fn gone(&self) {
-        self.state.metrics.left();
+        self.state.metrics.caller_left();
         log::info!("gateway: request={} outcome=left {}", self.call.id, self.ending());
     }
 
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -18,7 +18,7 @@
 use crate::limited;
 use crate::plain;
 use crate::probe;
-use crate::repeats;
+use crate::retries;
 use crate::route::{self, Crossing, Path};
 
 /// Paths tried for one request at most, counting those whose servers decline it.
@@ -72,7 +72,7 @@
         let begun = self.last.is_some();
         // What has begun is not held up: it is unlikely to be at fault, and its caller sees the pause.
         if let Some(looked) = self.looked.take().filter(|_| !begun) {
-            let _ = timeout(crash::KNOWN, looked).await;
+            let _ = timeout(crash::PROBE_WAIT, looked).await;
         }
         crash::admit(self.state, self.call, begun).await
     }
@@ -171,7 +171,7 @@
             if again && self.may_find_repeat() && self.look_and_borrow(&path).await {
                 continue;
             }
-            if again && !repeats::take(self.state, self.service, self.need()) {
+            if again && !retries::take(self.state, self.service, self.need()) {
                 self.obstacle = Some(Obstacle::Budget);
                 // A stream that waits for another path looks for it many times a second.
                 if self.last.is_none() && !self.kept {
@@ -207,14 +207,14 @@
 
     /// Whether there may be a repeat, here or at another router.
     fn may_find_repeat(&self) -> bool {
-        repeats::has(self.state, self.service, self.need())
-            || repeats::may_borrow(self.state, self.service, self.need())
+        retries::is_available(self.state, self.service, self.need())
+            || retries::may_borrow(self.state, self.service, self.need())
     }
 
     /// Asks the servers of a path whether they live, and other routers for a repeat meanwhile if there is none here;
     /// true if some server is found to be at fault.
     async fn look_and_borrow(&mut self, path: &Path) -> bool {
-        let borrowed = repeats::borrow(self.state, self.service, self.need());
+        let borrowed = retries::borrow(self.state, self.service, self.need());
         tokio::join!(self.look_into(path), borrowed).0
     }
 
@@ -240,7 +240,7 @@
     /// many wait, few of them would get a place in time, so the rest are refused at once.
     async fn place(&self, until: Instant) -> Option<Path> {
         let now = self.state.now();
-        limited::ask(self.state, self.service, |peer| route::begins(peer, now)).await;
+        limited::request_permits(self.state, self.service, |peer| route::begins(peer, now)).await;
         let path = self.path();
         if path.is_some() || self.last.is_some() || self.state.placeless.get() >= WAITING {
             return path;
@@ -383,7 +383,7 @@
             let again = status.is_server_error() && self.may_run_again().await;
             let whole = answer.collect(self.call.until).await;
             if whole.is_some() {
-                crash::completed(self.state, self.call);
+                crash::record_completion(self.state, self.call);
             }
             log::info!(
                 "gateway: request={} first={} status={status} again={again}",
@@ -409,7 +409,7 @@
             Next::Event(event) => {
                 self.state.metrics.first_event(source.began.elapsed());
                 source.path.first().went_on();
-                crash::reached(self.state, self.call, event.id.map_or(1, |id| id + 1));
+                crash::record_progress(self.state, self.call, event.id.map_or(1, |id| id + 1));
                 Ok(Opened::Stream(source, event))
             }
             Next::Late => Err(Failed::Late),
--- a/crates/gateway/src/stream/run.rs
+++ b/crates/gateway/src/stream/run.rs
@@ -68,7 +68,7 @@
     /// Notes that a connection broke over which the request may have run.
     pub(super) fn note_broken(&mut self, first: &Rc<Peer>) {
         let events = self.last.map_or(0, |last| last + 1);
-        self.looked = Some(crash::note_broken(self.state, self.call, first, events));
+        self.looked = Some(crash::record_broken_run(self.state, self.call, first, events));
         let run = self.runs.iter_mut().rfind(|run| Rc::ptr_eq(&run.first, first));
         run.into_iter().for_each(|run| run.broken = Some(self.state.now()));
     }
--- a/crates/layers/benches/decisions.rs
+++ b/crates/layers/benches/decisions.rs
@@ -7,7 +7,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use layers::path::{Ask, Holder, find};
+use layers::path::{Holder, Query, find};
 use layers::placement::plan;
 use layers::{Card, Server, Span};
 use model::{FAST, MIDDLE, SHAPE, SLOW};
@@ -22,7 +22,7 @@
         held[order.server].span = order.span;
     }
     let holders: Vec<Holder> = held.iter().enumerate().map(holder).collect();
-    let ask = Ask { from: 0, layers: 80, zone: 0, away_ms: 300.0, cross_ms: &|_, _| 500.0 };
+    let ask = Query { from: 0, layers: 80, zone: 0, away_ms: 300.0, cross_ms: &|_, _| 500.0 };
     measure("path", || drop(black_box(find(black_box(&holders), &ask))));
     measure("first orders", || drop(black_box(plan(black_box(&empty), &SHAPE, false))));
     measure("no orders", || drop(black_box(plan(black_box(&held), &SHAPE, false))));
--- a/crates/layers/src/pass.rs
+++ b/crates/layers/src/pass.rs
@@ -16,7 +16,7 @@
     /// Prompt tokens that one pass reads at most.
     pub chunk: f64,
     /// Time that each writing request adds to a step through all layers at pace 1, in milliseconds.
-    pub writer_ms: f64,
+    pub per_seq_ms: f64,
     /// Requests that a server runs at once as the first one of their paths.
     pub slots: f64,
     /// Mean tokens of a prompt.
@@ -38,7 +38,7 @@
     ///
     /// ```
     /// # use layers::{Card, Shape, pass::Pass};
-    /// let pass = Pass { stride: 4.0, chunk: 512.0, writer_ms: 0.0, slots: 192.0,
+    /// let pass = Pass { stride: 4.0, chunk: 512.0, per_seq_ms: 0.0, slots: 192.0,
     ///     prompt: 512.0, answer: 200.0 };
     /// let shape = Shape { layers: 80, layer_bytes: 1750e6, token_bytes: 4900.0, step_ms: 1.0,
     ///     read_per_ms: 256.0, cross_ms: 0.7, cross_token_ms: 0.02,
@@ -71,13 +71,13 @@
         let part = f64::from(layers) / f64::from(self.layers) * slow;
         let steps = part * pass.stride * card.pace * self.step_ms;
         let events = pass.answer / pass.stride;
-        let writing = part * pass.stride * card.pace * pass.writer_ms * events;
+        let writing = part * pass.stride * card.pace * pass.per_seq_ms * events;
         let reading = part * card.read * pass.prompt / self.read_per_ms;
         (steps, writing + reading)
     }
 
     /// Time for which a server with that many layers is busy with reading a prompt, in milliseconds.
-    pub fn reading_ms(&self, card: &Card, layers: u32, slow: f64, prompt: f64) -> f64 {
+    pub fn prefill_ms(&self, card: &Card, layers: u32, slow: f64, prompt: f64) -> f64 {
         let part = f64::from(layers) / f64::from(self.layers) * slow;
         let paper = prompt / self.read_per_ms * card.read * part / READING;
         match (self.pass, self.rate(card, layers, slow)) {
--- a/crates/layers/src/path.rs
+++ b/crates/layers/src/path.rs
@@ -12,7 +12,7 @@
 use crate::span::Span;
 
 /// Parts a path may have at most; backend servers refuse longer ones.
-pub const LONGEST: usize = 32;
+pub const MAX_PARTS: usize = 32;
 
 /// Layers on one server that a path may use.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -42,7 +42,7 @@
 
 /// Where the request comes from and what crossing links costs.
 #[derive(Clone, Copy)]
-pub struct Ask<'a> {
+pub struct Query<'a> {
     /// First layer that is still to be run.
     pub from: u32,
     /// Layers of the model.
@@ -69,15 +69,15 @@
 /// The cheapest path, and its cost in milliseconds. None if some layer is held nowhere.
 ///
 /// ```
-/// use layers::path::{Ask, Holder, find};
+/// use layers::path::{Query, Holder, find};
 /// use layers::Span;
 /// let holder = |server, from, to| Holder { server, zone: 0, span: Span::new(from, to), layer_ms: 1.0, hop_ms: 0.5, begin_ms: 0.0 };
-/// let ask = Ask { from: 0, layers: 8, zone: 0, away_ms: 10.0, cross_ms: &|_, _| 5.0 };
+/// let ask = Query { from: 0, layers: 8, zone: 0, away_ms: 10.0, cross_ms: &|_, _| 5.0 };
 /// let (path, _) = find(&[holder(0, 0, 4), holder(1, 4, 8)], &ask).unwrap();
 /// assert_eq!(path.len(), 2);
 /// assert!(find(&[holder(0, 0, 4)], &ask).is_none());
 /// ```
-pub fn find(holders: &[Holder], ask: &Ask<'_>) -> Option<(Vec<Part>, f64)> {
+pub fn find(holders: &[Holder], ask: &Query<'_>) -> Option<(Vec<Part>, f64)> {
     let cuts = boundaries(holders, ask);
     // One best entry for each boundary and data centre: what follows depends on no more.
     let mut best: Vec<Vec<Best>> = vec![Vec::new(); cuts.len()];
@@ -101,11 +101,11 @@
     let (last, end) =
         best.last()?.iter().enumerate().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))?;
     let parts = join(trace(&best, &cuts, holders, last));
-    (parts.len() <= LONGEST).then_some((parts, end.cost))
+    (parts.len() <= MAX_PARTS).then_some((parts, end.cost))
 }
 
 /// Sorted ends of all spans, from the first layer wanted to the end of the model.
-fn boundaries(holders: &[Holder], ask: &Ask<'_>) -> Vec<u32> {
+fn boundaries(holders: &[Holder], ask: &Query<'_>) -> Vec<u32> {
     let mut cuts = vec![ask.from, ask.layers];
     for holder in holders {
         let ends = [holder.span.from, holder.span.to];
@@ -121,7 +121,7 @@
     ends: &[Best],
     holder: &Holder,
     holders: &[Holder],
-    ask: &Ask<'_>,
+    ask: &Query<'_>,
     at: usize,
 ) -> Option<(f64, Option<usize>)> {
     let cross = |before: Zone| match before == holder.zone {
--- a/crates/layers/src/placement.rs
+++ b/crates/layers/src/placement.rs
@@ -15,31 +15,31 @@
 
 use crate::server::{Card, Index, Server, Shape, Zone};
 use crate::span::Span;
-pub use reserve::{RETURNS, STARTED, keep_started};
+pub use reserve::{REPLACEMENT_WINDOW, RESERVE_DELAY, defer_reserves};
 
 /// Tokens of context a data centre's copy is planned for, if its memory allows: half as much again
 /// as the hundred requests of nine hundred tokens that run when one copy carries three
 /// data centres for a while.
-pub const TOKENS: f64 = 150_000.0;
+pub const TARGET_CONTEXT_TOKENS: f64 = 150_000.0;
 
 /// Tokens of context beyond which a copy is not planned: more servers on a path cost each token a
 /// transfer, and each may break it.
-pub const MOST: f64 = 250_000.0;
+pub const MAX_CONTEXT_TOKENS: f64 = 250_000.0;
 
 /// Tokens of context beside each of several whole copies, where memory holds them: with two, a loss breaks half
 /// as many streams, and the other copy takes them without loading anything.
-pub const TWICE: f64 = 110_000.0;
+pub const MULTI_COPY_CONTEXT_TOKENS: f64 = 110_000.0;
 
 /// Part of a data centre's memory that its first copy takes. The rest holds second copies.
-const FIRST_COPY: f64 = 0.65;
+const FIRST_COPY_MEMORY_SHARE: f64 = 0.65;
 
 /// Tokens of context below which a part is not made larger, as its requests would be preempted:
 /// thirty requests of nine hundred tokens.
-pub const LEAST: f64 = 27_000.0;
+pub const MIN_CONTEXT_TOKENS: f64 = 27_000.0;
 
 /// Whole copies that carry the load of all data centres for the seconds in which a crashed server
 /// comes back. Dealing a copy anew loads most of its layers again and holds up what passes through.
-pub const COPIES: usize = 2;
+pub const MIN_WHOLE_COPIES: usize = 2;
 
 /// An order to hold layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,11 +56,12 @@
 /// `lasting` says that layers have been missing for longer than a crashed server needs to come back:
 /// then, or if few whole copies are left, what is held is dealt anew where it can't be repaired.
 pub fn plan(servers: &[Server], shape: &Shape, lasting: bool) -> Vec<Place> {
-    let room = servers.iter().filter(|s| s.usable).map(|s| s.card.capacity(shape, LEAST));
+    let room =
+        servers.iter().filter(|s| s.usable).map(|s| s.card.capacity(shape, MIN_CONTEXT_TOKENS));
     if room.sum::<u32>() < shape.layers {
         return Vec::new();
     }
-    let mut work = Work { servers: servers.to_vec(), shape, orders: Vec::new() };
+    let mut work = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
     let mut zones: Vec<Zone> = servers.iter().map(|s| s.zone).collect();
     zones.sort_unstable();
     zones.dedup();
@@ -77,7 +78,7 @@
     }
     let broken = |group: &&Vec<Zone>| !work.missing(group, None).is_empty();
     let broken: Vec<&Vec<Zone>> = groups.iter().filter(broken).collect();
-    if lasting || groups.len() - broken.len() < COPIES {
+    if lasting || groups.len() - broken.len() < MIN_WHOLE_COPIES {
         broken.into_iter().for_each(|group| work.rebuild(group));
     }
     // Only while nothing that is missing is being loaded: loads at the same time slow each other. What can't be loaded
@@ -104,7 +105,7 @@
 /// assert_eq!(placement::missing(&[server], &shape, 0), [Span::new(5, 8)]);
 /// ```
 pub fn missing(servers: &[Server], shape: &Shape, zone: Zone) -> Vec<Span> {
-    let work = Work { servers: servers.to_vec(), shape, orders: Vec::new() };
+    let work = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
     work.missing(&[zone], None)
 }
 
@@ -112,7 +113,7 @@
 fn groups(servers: &[Server], shape: &Shape, zones: &[Zone]) -> Vec<Vec<Zone>> {
     let holds = |zone: &Zone| {
         let cards = servers.iter().filter(|s| s.usable && s.zone == *zone).map(|s| s.card);
-        cards.map(|card| card.capacity(shape, LEAST)).sum::<u32>() >= shape.layers
+        cards.map(|card| card.capacity(shape, MIN_CONTEXT_TOKENS)).sum::<u32>() >= shape.layers
     };
     let (whole, part): (Vec<Zone>, Vec<Zone>) = zones.iter().partition(|zone| holds(zone));
     let mut groups: Vec<Vec<Zone>> = whole.into_iter().map(|zone| vec![zone]).collect();
@@ -122,13 +123,13 @@
     groups
 }
 
-struct Work<'a> {
+struct Planner<'a> {
     servers: Vec<Server>,
     shape: &'a Shape,
     orders: Vec<Place>,
 }
 
-impl Work<'_> {
+impl Planner<'_> {
     fn members<'b>(&'b self, group: &'b [Zone]) -> impl Iterator<Item = Index> + 'b {
         let of = move |s: &Server| s.usable && group.contains(&s.zone);
         self.servers.iter().enumerate().filter(move |(_, s)| of(s)).map(|(i, _)| i)
@@ -149,8 +150,8 @@
         self.orders.push(Place { server, span });
     }
 
-    /// First copy of an empty group: room for requests as memory allows, from [`TOKENS`] to
-    /// [`MOST`], on the fewest and fastest servers.
+    /// First copy of an empty group: room for requests as memory allows, from [`TARGET_CONTEXT_TOKENS`] to
+    /// [`MAX_CONTEXT_TOKENS`], on the fewest and fastest servers.
     fn fill(&mut self, group: &[Zone]) {
         let order = self.by_worth(group);
         let sum = |tokens: f64| -> u32 {
@@ -161,13 +162,14 @@
         }
         let all = Span::new(0, self.shape.layers);
         // What the ends of copies waste is missing from the last one, which is then a reserve.
-        let copies = sum(TWICE) / self.shape.layers;
+        let copies = sum(MULTI_COPY_CONTEXT_TOKENS) / self.shape.layers;
         let by_rate = self.holds_copies(group).then(|| self.by_rate(&order)).flatten();
         if let Some(spans) = by_rate {
             return spans.into_iter().for_each(|(i, span)| self.order(i, span));
         }
         if copies >= 2 {
-            let tokens = most(MOST, |tokens| sum(tokens) >= copies * self.shape.layers);
+            let tokens =
+                most(MAX_CONTEXT_TOKENS, |tokens| sum(tokens) >= copies * self.shape.layers);
             let mut rest = order;
             for _ in 0..copies {
                 rest = self.deal(&rest, all, tokens);
@@ -175,8 +177,9 @@
             return;
         }
         let memory: f64 = order.iter().map(|i| self.servers[*i].card.bytes).sum();
-        let layer = memory * FIRST_COPY / f64::from(self.shape.layers) - self.shape.layer_bytes;
-        let aim = (layer / self.shape.token_bytes).clamp(TOKENS, MOST);
+        let layer = memory * FIRST_COPY_MEMORY_SHARE / f64::from(self.shape.layers)
+            - self.shape.layer_bytes;
+        let aim = (layer / self.shape.token_bytes).clamp(TARGET_CONTEXT_TOKENS, MAX_CONTEXT_TOKENS);
         let tokens = most(aim, |tokens| sum(tokens) >= self.shape.layers);
         self.deal(&order, all, tokens);
     }
@@ -184,8 +187,9 @@
     /// Whether a group's memory holds several whole copies that are few enough to be weighed.
     fn holds_copies(&self, group: &[Zone]) -> bool {
         let cards = self.members(group).map(|i| self.servers[i].card);
-        let layers: u32 = cards.map(|card| card.capacity(self.shape, TWICE)).sum();
-        (2..=copies::MOST_COPIES).contains(&(layers / self.shape.layers))
+        let layers: u32 =
+            cards.map(|card| card.capacity(self.shape, MULTI_COPY_CONTEXT_TOKENS)).sum();
+        (2..=copies::MAX_COMPARED_COPIES).contains(&(layers / self.shape.layers))
     }
 
     /// The copies that serve most together. None if nothing is known of the engines' passes.
@@ -194,7 +198,7 @@
         let rate = |i: &Index| self.shape.rate(&self.servers[*i].card, self.shape.layers, 1.0);
         order.sort_by(|a, b| rate(b).partial_cmp(&rate(a)).unwrap_or(Ordering::Equal));
         let cards: Vec<Card> = order.iter().map(|i| self.servers[*i].card).collect();
-        let spans = copies::split(&cards, self.shape, TWICE)?;
+        let spans = copies::split(&cards, self.shape, MULTI_COPY_CONTEXT_TOKENS)?;
         Some(spans.into_iter().map(|(at, span)| (order[at], span)).collect())
     }
 
@@ -266,8 +270,10 @@
         order.sort_by_key(|i| (self.servers[*i].span, *i));
         let at = order.partition_point(|i| self.servers[*i].span.from < gap.from);
         let fits = |window: &[Index]| {
-            let room: u32 =
-                window.iter().map(|i| self.servers[*i].card.capacity(self.shape, LEAST)).sum();
+            let room: u32 = window
+                .iter()
+                .map(|i| self.servers[*i].card.capacity(self.shape, MIN_CONTEXT_TOKENS))
+                .sum();
             room >= self.extent(window, gap).len()
         };
         (2..=order.len()).find_map(|width| {
@@ -282,9 +288,9 @@
         spans.fold(gap, |all, s| Span::new(all.from.min(s.from), all.to.max(s.to)))
     }
 
-    /// Tokens of context that fit beside these layers on these servers, [`TOKENS`] at most.
+    /// Tokens of context that fit beside these layers on these servers, [`TARGET_CONTEXT_TOKENS`] at most.
     fn room(&self, order: &[Index], layers: Span) -> f64 {
-        most(TOKENS, |tokens| {
+        most(TARGET_CONTEXT_TOKENS, |tokens| {
             let cards = order.iter().map(|i| self.servers[*i].card);
             cards.map(|card| card.capacity(self.shape, tokens)).sum::<u32>() >= layers.len()
         })
@@ -301,7 +307,7 @@
             let server = &self.servers[*i];
             !server.busy && server.span.is_empty() == empty && self.redundant(group, *i)
         };
-        let most = |i: Index| self.servers[i].card.capacity(self.shape, LEAST);
+        let most = |i: Index| self.servers[i].card.capacity(self.shape, MIN_CONTEXT_TOKENS);
         let key = |i: &Index| (most(*i) < gap.len(), self.servers[*i].span.len(), most(*i));
         let Some(server) = members.into_iter().filter(spare).min_by_key(key) else {
             return false;
@@ -318,7 +324,7 @@
     fn extend(&mut self, group: &[Zone], gap: Span) -> bool {
         let room = |i: Index| {
             let server = &self.servers[i];
-            server.card.capacity(self.shape, LEAST).saturating_sub(server.span.len())
+            server.card.capacity(self.shape, MIN_CONTEXT_TOKENS).saturating_sub(server.span.len())
         };
         let free: Vec<Index> =
             self.members(group).filter(|i| !self.servers[*i].busy && room(*i) > 0).collect();
--- a/crates/layers/src/placement/copies.rs
+++ b/crates/layers/src/placement/copies.rs
@@ -15,7 +15,7 @@
 use crate::span::Span;
 
 /// Copies that are weighed against each other at most. With more, their number follows from memory.
-pub(super) const MOST_COPIES: u32 = 3;
+pub(super) const MAX_COMPARED_COPIES: u32 = 3;
 
 /// Part of the rate of a server that a copy is planned for; what comes does not come evenly.
 const BUSY: f64 = 0.8;
--- a/crates/layers/src/placement/reserve.rs
+++ b/crates/layers/src/placement/reserve.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-use super::{Place, Work, missing};
+use super::{Place, Planner, missing};
 use crate::server::{Index, Server, Shape, Zone};
 use crate::span::Span;
 
 /// Tokens of context beside a second copy.
-pub const SPARE: f64 = 100_000.0;
+pub const RESERVE_CONTEXT_TOKENS: f64 = 100_000.0;
 
 /// Factor on the times of a server that counts as slow.
 const SLOW: f64 = 6.0;
 
 /// Time after its start for which a server is kept empty if nothing is missing.
-pub const STARTED: Duration = Duration::from_millis(1500);
+pub const RESERVE_DELAY: Duration = Duration::from_millis(1500);
 
 /// Time in which a server that starts takes the place of one that was lost.
-pub const RETURNS: Duration = Duration::from_secs(10);
+pub const REPLACEMENT_WINDOW: Duration = Duration::from_secs(10);
 
 /// Leaves out the orders by which servers that have just started would hold second copies.
 ///
@@ -26,12 +26,12 @@
 /// and the copies that are left carry all requests when the next server dies.
 ///
 /// A server that comes back after a crash replaces none that is still to leave, and its data centre lacks the second copies that went
-/// with it. `lost` tells how long ago a data centre lost servers, within [`RETURNS`]: of those that have started since, as many are
+/// with it. `lost` tells how long ago a data centre lost servers, within [`REPLACEMENT_WINDOW`]: of those that have started since, as many are
 /// not kept.
 ///
 /// ```
 /// use std::time::Duration;
-/// use layers::placement::{Place, keep_started};
+/// use layers::placement::{Place, defer_reserves};
 /// use layers::{Card, Server, Shape, Span};
 /// let shape = Shape { layers: 8, layer_bytes: 1e9, token_bytes: 1e3, step_ms: 1.0,
 ///     read_per_ms: 100.0, cross_ms: 0.6, cross_token_ms: 0.01,
@@ -42,13 +42,13 @@
 /// let ages = [Duration::from_secs(60), Duration::from_secs(1)];
 /// let kept = |held, lost: &[Duration]| {
 ///     let lost = |_| lost.to_vec();
-///     keep_started(order.clone(), &[server(held), server(0)], &shape, |i| ages[i], lost)
+///     defer_reserves(order.clone(), &[server(held), server(0)], &shape, |i| ages[i], lost)
 /// };
 /// assert!(kept(8, &[]).is_empty());
 /// assert_eq!(kept(8, &[Duration::from_secs(4)]), order);
 /// assert_eq!(kept(4, &[]), order);
 /// ```
-pub fn keep_started(
+pub fn defer_reserves(
     places: Vec<Place>,
     servers: &[Server],
     shape: &Shape,
@@ -70,13 +70,13 @@
         (0..servers.len()).filter(came_before).count() < lost.len()
     };
     let waits = |place: &Place| {
-        let started = servers[place.server].span.is_empty() && age(place.server) < STARTED;
+        let started = servers[place.server].span.is_empty() && age(place.server) < RESERVE_DELAY;
         started && !fills(place) && !returns(place.server)
     };
     places.into_iter().filter(|place| !waits(place)).collect()
 }
 
-impl Work<'_> {
+impl Planner<'_> {
     /// Has servers that hold nothing needed take the layers that only slow servers hold.
     ///
     /// Load pattern: a card throttles and works ten times slower. It reads fewer prompts than the others of
@@ -106,7 +106,10 @@
             .collect();
         let several = self.holds_copies(group);
         for i in empty {
-            let len = self.servers[i].card.capacity(self.shape, SPARE).min(self.shape.layers);
+            let len = self.servers[i]
+                .card
+                .capacity(self.shape, RESERVE_CONTEXT_TOKENS)
+                .min(self.shape.layers);
             let thin = several.then(|| self.thinnest(group, i, len)).flatten();
             if len > 0 {
                 let span = thin.unwrap_or_else(|| self.safest(group, len));
--- a/crates/layers/tests/model/mod.rs
+++ b/crates/layers/tests/model/mod.rs
@@ -9,7 +9,7 @@
 pub const PASS: Pass = Pass {
     stride: 4.0,
     chunk: 512.0,
-    writer_ms: 0.0067,
+    per_seq_ms: 0.0067,
     slots: 192.0,
     prompt: 775.0,
     answer: 214.0,
--- a/crates/layers/tests/pass.rs
+++ b/crates/layers/tests/pass.rs
@@ -21,7 +21,7 @@
     for _ in 0..20_000 {
         let rate = PASS.chunk / PASS.prompt / pass_ms;
         let writers = rate * PASS.answer / PASS.stride * pass_ms;
-        let step = SHAPE.step_ms + PASS.writer_ms * writers;
+        let step = SHAPE.step_ms + PASS.per_seq_ms * writers;
         let reading = PASS.chunk * card.read / SHAPE.read_per_ms;
         pass_ms = part * (PASS.stride * card.pace * step + reading);
         (now, read) = (now + pass_ms, read + PASS.chunk);
@@ -41,7 +41,7 @@
     let played = played(&case.card, case.layers);
     assert!((rate - played).abs() < 0.02 * played, "{rate} {played}");
     assert!(rate < case.most);
-    let busy = SHAPE.reading_ms(&case.card, case.layers, 1.0, PASS.prompt);
+    let busy = SHAPE.prefill_ms(&case.card, case.layers, 1.0, PASS.prompt);
     assert!((busy * rate - 1e3).abs() < 1.0, "the meter is full at that rate: {busy}");
 }
 
@@ -52,6 +52,6 @@
     let shape = Shape { pass: None, ..SHAPE };
     let card = Card { bytes: 72e9, pace: 2.4, read: 3.2 };
     assert_eq!(shape.rate(&card, 28, 1.0), None);
-    let ms = shape.reading_ms(&card, 80, 1.0, 245.0);
+    let ms = shape.prefill_ms(&card, 80, 1.0, 245.0);
     assert!((ms - 3.2 / 0.6).abs() < 1e-9, "{ms}");
 }
--- a/crates/layers/tests/path.rs
+++ b/crates/layers/tests/path.rs
@@ -1,6 +1,6 @@
 //! Paths through held layers.
 
-use layers::path::{Ask, Holder, LONGEST, Part, find};
+use layers::path::{Holder, MAX_PARTS, Part, Query, find};
 use layers::{Span, slots};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -10,8 +10,8 @@
     Holder { server, zone, span: Span::new(from, to), layer_ms, hop_ms: 0.1, begin_ms: 0.0 }
 }
 
-fn ask(cross_ms: &dyn Fn(u16, u16) -> f64) -> Ask<'_> {
-    Ask { from: 0, layers: 8, zone: 0, away_ms: 4.0, cross_ms }
+fn ask(cross_ms: &dyn Fn(u16, u16) -> f64) -> Query<'_> {
+    Query { from: 0, layers: 8, zone: 0, away_ms: 4.0, cross_ms }
 }
 
 struct Case {
@@ -79,10 +79,10 @@
 fn going_on_behind_a_server_crosses_the_link() {
     let holders = [holder(0, 1, 0, 8, 1.0)];
     let full = |_, _| f64::INFINITY;
-    let start = Ask { from: 3, ..ask(&full) };
+    let start = Query { from: 3, ..ask(&full) };
     assert!(find(&holders, &start).is_none());
     let slow = |from, to| if (from, to) == (0, 1) { 50.0 } else { f64::INFINITY };
-    let start = Ask { from: 3, ..ask(&slow) };
+    let start = Query { from: 3, ..ask(&slow) };
     assert!(find(&holders, &start).unwrap().1 > 50.0);
     // A new request takes only its prompt's text there.
     assert!(find(&holders, &ask(&full)).is_some());
@@ -123,7 +123,7 @@
     servers.sort_unstable();
     servers.dedup();
     assert_eq!(servers.len(), parts.len(), "seed {seed}: {parts:?}");
-    assert!(parts.len() <= LONGEST);
+    assert!(parts.len() <= MAX_PARTS);
 }
 
 /// A data centre's first server has no slot left, and a slow one holds its first layers too. Requests that are
@@ -139,7 +139,7 @@
     let others = [holder(1, 0, 40, 80, 1.0), holder(2, 0, 0, 8, 10.0)];
     let begins = |running| {
         let holders = [first(running), others[0], others[1]];
-        let ask = Ask { from: 0, layers: 80, zone: 0, away_ms: 350.0, cross_ms: &|_, _| 500.0 };
+        let ask = Query { from: 0, layers: 80, zone: 0, away_ms: 350.0, cross_ms: &|_, _| 500.0 };
         find(&holders, &ask).unwrap().0
     };
     assert_eq!(begins(20)[0].server, 0);
--- a/crates/layers/tests/placement.rs
+++ b/crates/layers/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Which server holds which layers, as servers come, die and leave.
 
-use layers::placement::{LEAST, Place, missing, plan};
+use layers::placement::{MIN_CONTEXT_TOKENS, Place, missing, plan};
 use layers::{Card, Server, Shape, Span};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -55,7 +55,7 @@
         assert!(server.usable && !server.busy, "{order:?}");
         assert!(order.span.to <= SHAPE.layers && !order.span.is_empty(), "{order:?}");
         let tokens = server.card.room(&SHAPE, order.span.len());
-        assert!(tokens > LEAST * 0.5, "{order:?} leaves room for {tokens} tokens");
+        assert!(tokens > MIN_CONTEXT_TOKENS * 0.5, "{order:?} leaves room for {tokens} tokens");
     }
     let mut ordered: Vec<usize> = orders.iter().map(|o| o.server).collect();
     ordered.sort_unstable();
@@ -142,7 +142,7 @@
         settle(&mut servers, true);
         for zone in 0..3 {
             let of = servers.iter().filter(|s| s.usable && s.zone == zone);
-            let room: u32 = of.map(|s| s.card.capacity(&SHAPE, LEAST)).sum();
+            let room: u32 = of.map(|s| s.card.capacity(&SHAPE, MIN_CONTEXT_TOKENS)).sum();
             let lacks = missing(&servers, &SHAPE, zone);
             assert!(
                 room < SHAPE.layers + 16 || lacks.is_empty(),
