--- a/crates/gateway/src/count.rs
+++ b/crates/gateway/src/count.rs
@@ -1,8 +1,8 @@
-//! Numbers of things that go on at the moment.
+//! Counts of activities that are in progress.
 
 use std::cell::Cell;
 
-/// Counts something while it lives.
+/// A guard that keeps a count increased until it is dropped.
 ///
 /// ```
 /// use std::cell::Cell;
@@ -16,7 +16,7 @@
 pub struct Counted<'a>(&'a Cell<u32>);
 
 impl<'a> Counted<'a> {
-    /// Counts one more.
+    /// Increases `count` by one.
     pub fn new(count: &'a Cell<u32>) -> Counted<'a> {
         count.set(count.get() + 1);
         Counted(count)
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -1,5 +1,5 @@
-//! Requests whose content ends the servers that run them: what this router sees of them, what routers tell each other, and
-//! what is refused.
+//! Requests whose content crashes the servers that run them: records the losses, exchanges them with other routers, and
+//! refuses requests that are at fault.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,28 +21,28 @@
 use crate::request::Call;
 use crate::state::State;
 
-/// Longest time that a suspect waits for others that run alone. Its caller leaves if it takes much longer.
+/// Longest time that a suspect request waits for others that run alone. Callers leave after a much longer wait.
 const MAX_ALONE_WAIT: Duration = Duration::from_millis(400);
 
-/// Time in which losses are gathered before it is looked what others are told.
+/// Time in which losses are gathered before other routers are notified.
 const GATHER_DELAY: Duration = Duration::from_millis(20);
 
-/// Longest time until others are told again of what is refused.
+/// Longest time between two looks for due notifications while requests are suspected or refused.
 const NOTIFY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The same where nothing is known of any request.
+/// The same while no request is suspected or refused.
 const IDLE_INTERVAL: Duration = Duration::from_secs(3600);
 
-/// Longest time that a request which has not begun waits until it is known whether its server has ended.
+/// Longest time that a request whose answer has not begun waits for the result of the probe of its server.
 pub const PROBE_WAIT: Duration = Duration::from_millis(50);
 
-/// What a router knows of such requests.
+/// Requests that are suspected or refused, and counts of them.
 #[derive(Debug)]
 pub struct Crashes {
     list: RefCell<List>,
     /// Held by the suspect that runs alone.
     alone: Semaphore,
-    /// Woken when there is something to tell.
+    /// Notified when there may be something to send to other routers.
     news: Notify,
     refused: Cell<u64>,
     lost: Cell<u64>,
@@ -55,17 +55,17 @@
     }
 }
 
-/// How a fingerprint is written.
+/// Formats a fingerprint as 16 hexadecimal digits.
 pub fn format_fingerprint(fingerprint: Fingerprint) -> String {
     format!("{fingerprint:016x}")
 }
 
-/// Reads a fingerprint.
+/// Parses a fingerprint from hexadecimal digits.
 pub fn parse_fingerprint(text: &str) -> Option<Fingerprint> {
     Fingerprint::from_str_radix(text, 16).ok()
 }
 
-/// What may be done with a request.
+/// The current verdict on a request.
 pub fn verdict(state: &State, call: &Call) -> Verdict {
     let verdict = state.crashes.list.borrow_mut().verdict(call.content, state.now());
     if matches!(verdict, Verdict::Refused { .. }) {
@@ -74,12 +74,12 @@
     verdict
 }
 
-/// Whether a request is not sent now.
+/// Whether a request may not be sent now.
 pub fn is_blocked(state: &State, call: &Call) -> bool {
     matches!(verdict(state, call), Verdict::Refused { .. } | Verdict::Later { .. })
 }
 
-/// The answer to a request that is not sent; none if it may be.
+/// The response to a request that may not be sent. None if it may be.
 pub fn refuse(state: &State, call: &Call) -> Option<Response<Body>> {
     let left = match verdict(state, call) {
         Verdict::Refused { left } | Verdict::Later { left } => left,
@@ -89,8 +89,8 @@
     Some(answer::own_after(Reason::Crashes, Some(left)))
 }
 
-/// Waits until a request may be sent, beside no other suspect if it is one; whether it may at all. One that has `begun` to
-/// send events goes on unless it is refused for good.
+/// Waits until a request may be sent; a suspect runs beside no other suspect. Fails if the request is refused. One whose
+/// answer has `begun` continues unless its content is in quarantine.
 pub async fn admit<'a>(
     state: &'a State,
     call: &Call,
@@ -109,8 +109,8 @@
     }
 }
 
-/// Notes that the connection broke over which a request ran; `events` of its answer had come in all. The handle ends when it
-/// is known whether the server has ended.
+/// Records that the connection broke over which a request ran, after `events` events of its answer in all. The task ends
+/// when the probe has shown whether the server has ended.
 pub fn record_broken_run(
     state: &Rc<State>,
     call: &Call,
@@ -146,7 +146,7 @@
         }
         if peer.broke_off(state.now()) {
             log::warn!(
-                "gateway: server={} passed_over=true why=it breaks off what it runs",
+                "gateway: server={} passed_over=true why=its runs keep breaking off",
                 server.id
             );
             state.announce(Notice::Declines { server: server.id.clone() });
@@ -154,16 +154,16 @@
     })
 }
 
-fn record_loss(state: &State, content: Fingerprint, loss: Loss, heard: bool) {
+fn record_loss(state: &State, content: Fingerprint, loss: Loss, received: bool) {
     let crashes = &state.crashes;
-    crashes.lost.set(crashes.lost.get() + u64::from(!heard));
-    crashes.list.borrow_mut().lost(content, loss, heard);
-    if !heard {
+    crashes.lost.set(crashes.lost.get() + u64::from(!received));
+    crashes.list.borrow_mut().lost(content, loss, received);
+    if !received {
         crashes.news.notify_one();
     }
 }
 
-/// Looks whether a server that does not answer has ended.
+/// Probes whether a server that does not answer has ended.
 pub fn check_silent_server(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer, server) = (state.clone(), peer.clone(), peer.server());
     spawn_local(async move {
@@ -174,17 +174,17 @@
     });
 }
 
-/// Notes that a run of a request got so many events.
+/// Records that a run of a request has produced that many events.
 pub fn record_progress(state: &State, call: &Call, events: u64) {
     state.crashes.list.borrow_mut().reached(call.content, events);
 }
 
-/// Notes that a request came to its end.
+/// Records that a request has completed.
 pub fn record_completion(state: &State, call: &Call) {
     state.crashes.list.borrow_mut().completed(call.content, state.now());
 }
 
-/// Hears of runs that ended with their server some time ago.
+/// Records runs that another router lost when their server ended, `ago` before now.
 pub fn receive_losses(state: &State, start: &Start, ago: Duration, runs: &[(String, u64)]) {
     let at = state.now().saturating_sub(ago);
     for (content, events) in runs {
@@ -195,7 +195,7 @@
     }
 }
 
-/// Hears that requests are not at fault.
+/// Records that another router found requests not to be at fault.
 pub fn receive_cleared(state: &State, contents: &[String]) {
     let mut list = state.crashes.list.borrow_mut();
     contents
@@ -204,7 +204,7 @@
         .for_each(|content| list.clear(content, state.now()));
 }
 
-/// Hears that a request is refused until then, by the wall clock in milliseconds.
+/// Records that another router refuses a request until `until_ms`, in milliseconds of Unix time.
 pub fn receive_refusal(state: &State, content: &str, until_ms: u64, servers: u32) {
     let left = Duration::from_millis(until_ms).saturating_sub(clock::wall());
     let mut list = state.crashes.list.borrow_mut();
@@ -214,16 +214,16 @@
     state.crashes.news.notify_one();
 }
 
-/// Lets a request run again; whether it was known.
+/// Lifts the quarantine of a request. Returns whether it was known.
 pub fn lift(state: &State, content: &str) -> bool {
     let known = parse_fingerprint(content)
         .is_some_and(|content| state.crashes.list.borrow_mut().lift(content, state.now()));
-    log::warn!("gateway: quarantine content={content} lifted={known} why=an operator says so");
+    log::warn!("gateway: quarantine content={content} lifted={known} why=lifted by an operator");
     state.crashes.news.notify_one();
     known
 }
 
-/// Tells the other routers, as long as the process runs.
+/// Notifies the other routers of losses and verdicts for as long as the process runs.
 pub async fn notify_routers(state: Rc<State>) {
     let mut wait = IDLE_INTERVAL;
     loop {
@@ -232,7 +232,7 @@
         let now = state.now();
         let news = state.crashes.list.borrow_mut().news(now, rand::random());
         wait = match state.crashes.list.borrow().counts(now) {
-            // What is not told yet is due by then.
+            // Pending notifications are due after this time.
             _ if woken => GATHER,
             (0, _) => IDLE_INTERVAL,
             _ => NOTIFY_INTERVAL,
@@ -278,7 +278,7 @@
     all
 }
 
-/// Lines for the metrics.
+/// Metrics text.
 pub fn page(state: &State) -> String {
     let crashes = &state.crashes;
     let (suspects, refused) = crashes.list.borrow().counts(state.now());
@@ -290,7 +290,7 @@
     )
 }
 
-/// What is refused or suspected and why, a line each.
+/// The requests that are refused or suspected and the reasons, one line each.
 pub fn quarantine(state: &State) -> String {
     let now = state.now();
     let entries = state.crashes.list.borrow_mut().entries(now);
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -1,8 +1,8 @@
-//! Limits that backend servers in need name for all routers together.
+//! Rate limits that overloaded backend servers set for all routers together.
 //!
-//! A server's answers name how many requests a second it takes from all routers. The first router that reads this tells
-//! the others. From then on a request goes to that server with a permit only, and one router keeps the ledger of
-//! the permits ([`policy::quota`]): the one that all routers work out from the members of the group and the server's name.
+//! A server's answers name how many requests a second it accepts from all routers. The first router that reads this
+//! notifies the others. From then on, a request to that server needs a permit. One router owns the ledger of the permits
+//! ([`policy::quota`]): every router derives the same owner from the members of the group and the id of the server.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -25,49 +25,49 @@
 use crate::shared_read;
 use crate::state::State;
 
-/// Time that the keeper of a ledger gets to answer. Routers are some milliseconds apart, and callers wait for it.
+/// Time limit for an answer of a ledger's owner. Routers are some milliseconds apart, and callers wait for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which a keeper that did not answer is passed over.
+/// Time for which an owner that did not answer is passed over.
 const OWNER_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Time after which a router that got no answer asks for permits again.
+/// Time after which a router that got no answer requests permits again.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Time after which a ledger that nobody asks is dropped.
+/// Time without requests after which a ledger is dropped.
 const LEDGER_TTL: Duration = Duration::from_secs(30);
 
-/// Version of a question.
+/// Version of a request for permits.
 const VERSION: u16 = 1;
 
-/// A limit that a server names.
+/// The limit of a server.
 #[derive(Debug)]
 pub struct Limit {
-    /// Requests a second that it takes from all routers together.
+    /// Requests a second that the server accepts from all routers together.
     pub per_s: f64,
-    /// When this router first knew of a limit.
+    /// When this router first learned of a limit.
     pub since: Duration,
     permits: Permits,
     asking: bool,
 }
 
-/// What a router knows of a server's limit.
+/// A server's limit, if it has set one, and the permits that this router holds.
 #[derive(Debug, Default)]
 pub struct Limited {
     limit: RefCell<Option<Limit>>,
     /// Requests that wait for permits.
     waiting: Cell<u32>,
-    /// Woken when a question for permits has ended.
+    /// Notified when a request for permits has ended.
     answered: Notify,
 }
 
-/// What a router keeps for servers that name limits.
+/// The ledgers that this router owns, by id of the server.
 #[derive(Debug, Default)]
 pub struct Ledgers {
     ledgers: RefCell<Vec<(Id, Ledger)>>,
 }
 
-/// A question for permits as it is sent.
+/// A request for permits as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
 struct Request {
     version: u16,
@@ -79,11 +79,11 @@
     want: u32,
 }
 
-/// The answer: permits, and the time in milliseconds after which the router may ask again.
+/// The reply: permits, and the time in milliseconds after which the router may ask again.
 type Reply = (u32, u64);
 
 impl Limited {
-    /// Requests a second that the server takes from all routers together, if it names a limit.
+    /// Requests a second that the server accepts from all routers together, if it has a limit.
     pub fn per_s(&self) -> Option<f64> {
         self.limit.borrow().as_ref().map(|limit| limit.per_s)
     }
@@ -98,13 +98,13 @@
         self.limit.borrow_mut().as_mut().is_none_or(|limit| limit.permits.take(now))
     }
 
-    /// When a caller that was refused for the limit is to come back.
+    /// Time after which a caller that was refused because of the limit may retry.
     pub fn retry_after(&self, routers: u32, now: Duration) -> Option<Duration> {
         let mut limit = self.limit.borrow_mut();
         limit.as_mut().map(|limit| limit.permits.come_back(limit.per_s, routers, now))
     }
 
-    /// Forgets the limit.
+    /// Removes the limit.
     pub fn clear(&self) {
         self.limit.take();
     }
@@ -117,7 +117,7 @@
         self.limit.borrow_mut().as_mut().is_some_and(|limit| limit.permits.may_ask(now))
     }
 
-    /// Takes a limit over, or its end; whether that is news.
+    /// Sets or removes the limit. Returns whether that changes it.
     fn set(&self, per_s: Option<f64>, now: Duration) -> bool {
         let mut known = self.limit.borrow_mut();
         match (known.as_mut(), per_s) {
@@ -136,7 +136,8 @@
     }
 }
 
-/// Requests a second that a field names, in whole thousandths as notices tell them; none if it is no such number.
+/// Parses the value of a header field as requests a second, rounded to the thousandths that notices carry. None if it is
+/// no valid limit.
 ///
 /// ```
 /// use hyper::header::HeaderValue;
@@ -151,8 +152,8 @@
     (limit.is_finite() && limit >= 0.0).then(|| (limit * 1e3).round() / 1e3)
 }
 
-/// Takes what a server's answer says of its limit, to a request that was sent `took` ago. `own` says that the
-/// answer is the server's own, so that a limit it does not name has ended.
+/// Records the limit that a server's answer names, to a request that was sent `took` ago. `own` says that the answer comes
+/// from the server itself, so that it has no limit if it names none.
 pub fn record(
     state: &Rc<State>,
     peer: &Rc<Peer>,
@@ -169,7 +170,7 @@
         limit
     });
     let since = peer.limited.limit.borrow().as_ref().map(|limit| limit.since);
-    // An answer to a request of before the limit says nothing of its end.
+    // The answer to a request that was sent before the limit was known is no sign that the limit has ended.
     let ended = own && since.is_some_and(|since| since < now.saturating_sub(took));
     if (named.is_some() || ended) && peer.limited.set(named, now) {
         publish_change(state, peer, "its answer");
@@ -179,12 +180,12 @@
     }
 }
 
-/// Takes over what another router read of a server's limit.
+/// Records a server's limit that another router has read.
 pub fn receive(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
-    let fresh = peer.limited.per_s().is_none();
+    let first = peer.limited.per_s().is_none();
     if peer.limited.set(per_s_milli.map(|limit| limit as f64 / 1e3), state.now()) {
-        publish_change(state, peer, "another router says so");
-        report_sent(state, peer, fresh);
+        publish_change(state, peer, "notice of another router");
+        report_sent(state, peer, first);
     }
 }
 
@@ -196,16 +197,16 @@
     state.changed.notify_waiters();
 }
 
-/// Reports to the keeper of the ledger what was sent before the limit was known: the server has had that already.
-fn report_sent(state: &Rc<State>, peer: &Rc<Peer>, fresh: bool) {
+/// Reports to the owner of the ledger what was sent before the limit was known, since it counts against the limit too.
+fn report_sent(state: &Rc<State>, peer: &Rc<Peer>, first: bool) {
     let sent = peer.sent.borrow_mut().count(state.now()) > 0;
-    if fresh && sent && peer.limited.per_s().is_some() {
+    if first && sent && peer.limited.per_s().is_some() {
         spawn_request(state, peer);
     }
 }
 
-/// Asks for permits of those servers of a service that name limits and to which `suits` applies, if it is time for that,
-/// and waits for the answers for a moment.
+/// Requests permits for those servers of a service that have limits and to which `suits` applies, as soon as a request is
+/// due, and waits up to [`ANSWER_TIMEOUT`] for the replies.
 pub async fn request_permits(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
     let mut peers = state.of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
@@ -226,7 +227,7 @@
     }
 }
 
-/// The answer to a caller whose request is over the limits of a service's servers.
+/// The response to a request that exceeds the limits of a service's servers.
 pub fn refuse(state: &State, service: &str) -> Response<Body> {
     let (now, routers) = (state.now(), state.routers());
     let peers = state.of(service);
@@ -234,7 +235,7 @@
     answer::own_after(Reason::Limited, times.min())
 }
 
-/// Asks the keeper of a server's ledger, beside what else goes on.
+/// Spawns a task that requests permits from the owner of a server's ledger.
 fn spawn_request(state: &Rc<State>, peer: &Rc<Peer>) {
     if let Some(limit) = peer.limited.limit.borrow_mut().as_mut() {
         limit.asking = true;
@@ -261,7 +262,7 @@
     let ask = Ask { limit: limit.0, free, free_age, want: peer.limited.waiting.get() };
     let avoid = |address| state.neighbours.avoids(address, now);
     match shared_read::keeper(state, &id, avoid) {
-        // Nobody is known: each takes an equal part.
+        // Without a known owner, each router takes an equal share.
         None => {
             let limit = ask.limit.max(LEAST) / f64::from(state.routers());
             grant(state, &id, &state.setup.vm, Ask { limit, ..ask })
@@ -270,7 +271,10 @@
         Some(member) => match ask_owner(state, member.address, &id, ask).await {
             Ok(grant) => grant,
             Err(why) => {
-                log::info!("gateway: server={id} keeper lost address={} why={why}", member.address);
+                log::info!(
+                    "gateway: server={id} ledger owner did not answer address={} why={why}",
+                    member.address
+                );
                 state.neighbours.avoid(member.address, now, now + OWNER_BACKOFF);
                 none
             }
@@ -299,12 +303,12 @@
     Ok(Grant { permits: permits.min(want), again: Duration::from_millis(again_ms) })
 }
 
-/// Answers another router's question for permits; none if it can't be read.
+/// Answers another router's request for permits. None if the request can't be decoded.
 pub fn answer_request(state: &State, body: &[u8]) -> Option<Bytes> {
     let question: Request = match postcard::from_bytes(body) {
         Ok(question) => question,
         Err(e) => {
-            log::warn!("gateway: a question for permits can't be read: {e}");
+            log::warn!("gateway: request for permits can't be decoded: {e}");
             return None;
         }
     };
@@ -318,7 +322,7 @@
     Some(Bytes::from(postcard::to_allocvec(&reply).expect("plain fields")))
 }
 
-/// Gives permits from the ledger that this router keeps.
+/// Grants permits from a ledger that this router owns.
 fn grant(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
     let now = state.now();
     let mut ledgers = state.keeper.ledgers.borrow_mut();
@@ -330,7 +334,7 @@
     ledgers[at].1.ask(router, ask, now)
 }
 
-/// Lines for the metrics: limits that servers name, and what this router sent there lately.
+/// Metrics text: limits of servers, and what this router has sent there recently.
 pub fn page(state: &State) -> String {
     let line = |peer: Rc<Peer>| {
         let per_s = peer.limited.per_s()?;
--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard output that never hold a request up.
+//! Logging to standard output that never blocks a request.
 //!
-//! Lines go through a bounded queue to a thread that writes them. If nobody reads standard
-//! output, the queue fills and lines are left out and counted, where a blocking write would stop
-//! all requests of the process.
+//! Lines pass through a bounded queue to a thread that writes them. If nobody reads standard
+//! output, the queue fills, and further lines are dropped and counted. A blocking write would
+//! stop all requests of the process instead.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -13,16 +13,16 @@
 
 use simplelog::{Config, ConfigBuilder, LevelFilter, WriteLogger};
 
-/// Longest time at the end of the process for the last lines to be written.
+/// Longest time at the end of the process for writing the last lines.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Lines about broken runs in a second.
+/// Log lines about broken runs in a second.
 pub const MAX_LOSS_LINES_PER_S: u32 = 100;
 
-/// Lines that wait at most: a second of the busiest measured minute.
+/// Capacity of the queue in lines: as many as one second of the busiest minute of a measured run.
 const MAX_QUEUED_LINES: usize = 2048;
 
-/// Hands lines on without waiting.
+/// A writer that puts lines into the queue without blocking.
 #[derive(Debug)]
 pub struct Lines {
     sender: SyncSender<Vec<u8>>,
@@ -30,18 +30,18 @@
     counts: Arc<Counts>,
 }
 
-/// Lines on their way.
+/// Counts of queued and dropped lines.
 #[derive(Debug, Default)]
 pub struct Counts {
-    /// Handed on and not yet written.
+    /// Lines in the queue that are not written yet.
     pub waiting: AtomicU64,
-    /// Left out since the last line that said so.
+    /// Lines dropped since the last report of dropped lines.
     pub left_out: AtomicU64,
 }
 
 impl Counts {
-    /// Waits until all lines are written, but not for a reader that has stopped reading. Without
-    /// it the last lines of a process are lost, which say how it ended.
+    /// Waits until all lines are written, or until the time limit if nobody reads them. Without
+    /// this, the last lines of a process are lost, which say how it ended.
     pub fn drain(&self) {
         for _ in 0..DRAIN_TIMEOUT.as_millis() {
             if self.waiting.load(Ordering::Acquire) == 0 {
@@ -53,9 +53,9 @@
 }
 
 impl Lines {
-    /// A writer, and the end that lines come out of.
-    pub fn new(most: usize) -> (Lines, Receiver<Vec<u8>>, Arc<Counts>) {
-        let (sender, receiver) = sync_channel(most);
+    /// Creates a writer with a queue of `capacity` lines, and the receiver of the queue.
+    pub fn new(capacity: usize) -> (Lines, Receiver<Vec<u8>>, Arc<Counts>) {
+        let (sender, receiver) = sync_channel(capacity);
         let counts = Arc::new(Counts::default());
         (Lines { sender, line: Vec::new(), counts: counts.clone() }, receiver, counts)
     }
@@ -79,11 +79,11 @@
     }
 }
 
-/// Refusals that are logged in a second. A caller with a wrong key that asks a thousand times a second
-/// would otherwise push out the lines of everybody else.
+/// Log lines about refusals in a second. A caller with a wrong key that sends a thousand requests a second
+/// would otherwise displace all other lines.
 pub const MAX_REFUSAL_LINES_PER_S: u32 = 20;
 
-/// How many lines of one sort were written in the current second.
+/// Limits the lines of one kind that are written in a second.
 #[derive(Debug, Default)]
 pub struct Quota {
     second: u64,
@@ -94,14 +94,14 @@
 /// Whether a line is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Line {
-    /// It is; before it, as many were left out.
+    /// It is written. Holds the number of lines dropped before it.
     Written(u32),
-    /// It is not.
+    /// It is dropped.
     LeftOut,
 }
 
 impl Quota {
-    /// Decides about one line at a time since the start.
+    /// Decides whether one line is written, `now` after the start of the process, if at most `most` a second are.
     ///
     /// ```
     /// # use std::time::Duration;
@@ -143,19 +143,19 @@
         .build()
 }
 
-/// Copies lines until the writer is gone; says how many were left out.
+/// Copies lines to `out` until the writer is dropped, and reports how many lines were dropped.
 pub fn copy(lines: &Receiver<Vec<u8>>, counts: &Counts, out: &mut impl Write) {
     while let Ok(line) = lines.recv() {
-        let lost = counts.left_out.swap(0, Ordering::Relaxed);
-        let written = match lost {
+        let dropped = counts.left_out.swap(0, Ordering::Relaxed);
+        let written = match dropped {
             0 => out.write_all(&line),
             n => out.write_all(&line).and_then(|()| {
                 writeln!(out, "gateway: lines_left_out={n} why=standard output is not read")
             }),
         };
         if written.and_then(|()| out.flush()).is_err() {
-            // Nobody can be told; counting goes on for a reader that comes back.
-            counts.left_out.fetch_add(1 + lost, Ordering::Relaxed);
+            // The lines are lost; they stay counted in case that output works again later.
+            counts.left_out.fetch_add(1 + dropped, Ordering::Relaxed);
         }
         counts.waiting.fetch_sub(1, Ordering::Release);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms by opentelemetry, shown as Prometheus text.
+//! Metrics: OpenTelemetry counters and histograms, exported as Prometheus text.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::shared_read;
 use crate::state::State;
 
-/// The instruments of a gateway. What each tells an operator is in docs/OPERATIONS.md.
+/// The instruments of a gateway, which docs/OPERATIONS.md explains to operators.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -29,7 +29,7 @@
 }
 
 impl Metrics {
-    /// Instruments at nought.
+    /// Creates the instruments, all at zero.
     pub fn new() -> Result<Metrics, String> {
         let registry = Registry::new();
         let exporter = opentelemetry_prometheus::exporter()
@@ -72,97 +72,97 @@
         self.events.add(1, &[KeyValue::new("kind", kind)]);
     }
 
-    /// An answer went to a caller.
+    /// Counts an answer to a caller, and records its time.
     pub fn answered(&self, status: StatusCode, took: Duration) {
         self.answers.add(1, &[KeyValue::new("status", i64::from(status.as_u16()))]);
         self.answer_time.record(took.as_secs_f64(), &[]);
     }
 
-    /// A request was refused before it was sent anywhere.
+    /// Counts a request that was refused before it was sent anywhere.
     pub fn refused(&self, reason: Reason) {
         self.refusals.add(1, &[KeyValue::new("reason", reason.to_string())]);
     }
 
-    /// A stream's first event came.
+    /// Records the time to the first event of a stream.
     pub fn first_event(&self, took: Duration) {
         self.first_event.record(took.as_secs_f64(), &[]);
     }
 
-    /// A stream was delivered to its end.
+    /// Counts a stream that was delivered completely.
     pub fn stream_complete(&self, _took: Duration) {
         self.event("stream_complete");
     }
 
-    /// An event came later than its route's longest pause.
+    /// Counts an event that came after more than its route's longest pause.
     pub fn late_event(&self, why: &'static str) {
         self.late_events.add(1, &[KeyValue::new("why", why)]);
     }
 
-    /// A stream was cut off.
+    /// Counts a stream that was cut off.
     pub fn stream_cut(&self) {
         self.event("stream_cut");
     }
 
-    /// A caller left.
+    /// Counts a caller that closed its connection.
     pub fn caller_left(&self) {
         self.event("caller_left");
     }
 
-    /// An answer did not come in time.
+    /// Counts an answer that did not come in time.
     pub fn answer_late(&self) {
         self.event("late");
     }
 
-    /// A repeat was not sent as the budget is used up.
+    /// Counts a retry that was not sent because the budget is used up.
     pub fn budget_empty(&self) {
         self.event("retry_budget_empty");
     }
 
-    /// The connection broke over which a request ran, and its server has ended or not.
+    /// Counts a broken connection over which a request ran, by whether its server has `ended`.
     pub fn run_broken(&self, ended: bool) {
         self.event(if ended { "run_on_ended_server" } else { "run_broken" });
     }
 
-    /// A server was suspected.
+    /// Counts a suspicion of a server.
     pub fn suspected(&self) {
         self.event("server_suspected");
     }
 
-    /// A call to the store failed.
+    /// Counts a call to the store that failed.
     pub fn store_failed(&self) {
         self.event("store_call_failed");
     }
 
-    /// A router that this one hears from gave no useful answer.
+    /// Counts a source router, from which this one reads, that gave no useful answer.
     pub fn source_lost(&self) {
         self.event("source_lost");
     }
 
-    /// A server's entry came that is older than the one known.
+    /// Counts a received entry of a server that is older than the known one.
     pub fn old_entry(&self) {
         self.event("old_entry");
     }
 
-    /// The list of servers is not that of the router that this one hears from.
+    /// Counts a difference between the list of servers here and that of the source router.
     pub fn list_differs(&self) {
         self.event("list_differs");
     }
 
-    /// A server named another limit, or none any more.
+    /// Counts a change of the limit that a server names.
     pub fn limit_named(&self) {
         self.event("limit_named");
     }
 
-    /// A server was ordered to hold layers.
+    /// Counts an order to a server to hold layers.
     pub fn ordered(&self) {
         self.event("order");
     }
 
-    /// The metrics as text.
+    /// Returns all metrics as Prometheus text.
     pub fn page(&self, state: &State) -> String {
         let mut text = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut text) {
-            log::warn!("gateway: metrics can't be shown: {e}");
+            log::warn!("gateway: metrics can't be encoded: {e}");
         }
         let version = state.settings().map_or(0, |s| s.version);
         let mut text = String::from_utf8_lossy(&text).into_owned();
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,8 +1,9 @@
 //! Retries of requests, out of the budget that all routers share.
 //!
-//! A router uses its own part of the budget of a service ([`policy::window`]) and borrows from others when that is used up
-//! ([`policy::loan`]). What waits for repeats is asked for together, by datagrams: a question is worth nothing after a
-//! moment, and a router that is short asks many others of which it knows none yet.
+//! A router uses its own share of the budget of a service ([`policy::window`]) and borrows from other routers when that is
+//! used up ([`policy::loan`]). One request for a loan covers everything that waits for retries. Loans are requested by
+//! datagram, since a request is worthless after some milliseconds and goes to many routers with which there is no
+//! connection yet.
 
 mod datagram;
 mod handover;
@@ -30,16 +31,16 @@
 use heavy::Heavy;
 pub use heavy::{finish_replay, predecessor, receive_heavy_use, replay_heavy_use};
 
-/// Time after which others are asked beside a router that has not answered.
+/// Time after which further routers are asked if one has not answered.
 const HEDGE_DELAY: Duration = Duration::from_millis(30);
 
-/// Longest time that something waits for repeats of others.
+/// Longest time that a request waits for borrowed retries.
 const MAX_BORROW_WAIT: Duration = Duration::from_millis(100);
 
-/// Lines about loans in a second.
+/// Log lines about loans in a second.
 const MAX_LINES_PER_S: u32 = 10;
 
-/// What a router has of others' parts of the budgets.
+/// Retries that a router has borrowed and lent.
 #[derive(Debug, Default)]
 pub struct Retries {
     /// Sorted by service and need.
@@ -53,35 +54,35 @@
     refused: Cell<u64>,
 }
 
-/// A service, and what repeats of it are for.
+/// A service, and what its retries are needed for.
 type Key = (String, Need);
 
-/// What it has of one service's for one kind of need.
+/// Borrowed retries of one service for one kind of need.
 #[derive(Debug, Default)]
 struct Account {
     borrower: RefCell<Borrower<SocketAddr>>,
-    /// Answers that wait for repeats.
+    /// Answers that wait for retries.
     waiting: Cell<u32>,
-    /// Whether others are being asked.
+    /// Whether other routers are being asked.
     asking: Cell<bool>,
-    /// Woken when an answer has come.
+    /// Notified when a lender has answered.
     answered: Notify,
 }
 
 impl Account {
-    /// Answers that wait for a repeat and for which none is held.
+    /// Number of waiting answers for which no borrowed retry is held.
     fn short(&self, now: Duration) -> u32 {
         self.waiting.get().saturating_sub(self.borrower.borrow_mut().held(now) as u32)
     }
 }
 
 impl Retries {
-    /// Whether this process uses and lends nothing more of its own parts.
+    /// Whether this process has stopped using and lending its own shares.
     pub fn has_ended(&self) -> bool {
         self.handover.has_ended()
     }
 
-    /// Asks a router again that did not answer, as it gives a sign of life.
+    /// Makes a router that did not answer eligible as a lender again, since a datagram of it has arrived.
     pub(crate) fn mark_alive(&self, lender: SocketAddr) {
         let accounts = self.accounts.borrow();
         accounts.iter().for_each(|(_, account)| account.borrower.borrow_mut().trust(lender));
@@ -99,14 +100,15 @@
     }
 }
 
-/// Whether a repeat of a service is there for a need.
+/// Whether a retry of a service is available for a need.
 pub fn is_available(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
     state.repeats.account(service, need).borrower.borrow_mut().held(now) > 0
         || state.budget(service, |budget| budget.left_for(need, now, routers)) > 0
 }
 
-/// Whether others may have some. They leave out what a router asks that has not been a member of the group yet.
+/// Whether other routers may have retries to lend. They ignore requests of a router that has not been a member of the
+/// group yet.
 pub fn may_borrow(state: &State, service: &str, need: Need) -> bool {
     if !state.sharing.was_member() {
         return false;
@@ -116,7 +118,7 @@
     state.repeats.account(service, need).borrower.borrow_mut().may_ask(&others, now)
 }
 
-/// Takes one repeat, if there is one.
+/// Takes one retry, if one is available.
 pub fn take(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
     let taken = state.repeats.account(service, need).borrower.borrow_mut().take(now)
@@ -131,7 +133,7 @@
     taken
 }
 
-/// Waits for a moment until a repeat is there, or others have none.
+/// Waits until a retry is available, other routers have none, or [`MAX_BORROW_WAIT`] has passed.
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
     let account = state.repeats.account(service, need);
     let until = Instant::now() + MAX_BORROW_WAIT;
@@ -150,7 +152,7 @@
     }
 }
 
-/// Asks other routers for all that waits.
+/// Asks other routers for as many retries as are waited for.
 async fn ask_others(state: Rc<State>, service: String, need: Need, account: Rc<Account>) {
     let (began, routers) = (state.now(), state.routers());
     let part = state.budget(&service, |budget| budget.part(began, routers));
@@ -204,7 +206,8 @@
     }
 }
 
-/// Asks one router, and tells the round what it lends. What it lends later than the round waits is used by what waits then.
+/// Asks one router, and passes what it lends to the round. A loan that arrives after the round has ended is used by
+/// requests that wait at that time.
 async fn ask_lender(
     state: Rc<State>,
     service: String,
@@ -223,17 +226,17 @@
             state.repeats.borrowed.set(state.repeats.borrowed.get() + u64::from(loan.lent));
         }
         None => {
-            log::info!("gateway: no repeats of address={lender} why=no answer within {HELD:?}");
+            log::info!("gateway: no repeats from address={lender} why=no answer within {HELD:?}");
             borrower.avoid(lender, now + AVOIDED);
         }
     }
     drop(borrower);
-    // The round has ended if this came late.
+    // Fails if the round has ended in the meantime.
     let _ = round.send((lender, loan));
     account.answered.notify_waiters();
 }
 
-/// Lines for the metrics: this router's parts of the budgets, what is left of them, and loans.
+/// Metrics text: this router's shares of the budgets, what is left of them, and loans.
 pub fn page(state: &State) -> String {
     let (now, routers, repeats) = (state.now(), state.routers(), &state.repeats);
     let mut text = format!(
--- a/crates/gateway/src/retries/datagram.rs
+++ b/crates/gateway/src/retries/datagram.rs
@@ -1,4 +1,4 @@
-//! Questions for repeats and their answers, a datagram each.
+//! Requests for loans of retries and the replies to them, one datagram each.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io;
@@ -20,27 +20,27 @@
 /// Version of the datagrams.
 const VERSION: u16 = 1;
 
-/// Longest datagram, in bytes: a service's name, and the addresses of twenty routers.
+/// Longest datagram: the name of a service and the addresses of twenty routers.
 const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// What routers send each other.
+/// A datagram between routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Datagram {
     Ask(LoanRequest),
     Loan(LoanReply),
 }
 
-/// A question for repeats.
+/// A request for retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct LoanRequest {
     version: u16,
-    /// Number of the question, which its answer names.
+    /// Number of the request, which the reply repeats.
     id: u64,
     pub(super) service: String,
     pub(super) want: u32,
-    /// Whether they are for answers that have begun.
+    /// Whether the retries are for answers that have begun.
     begun: bool,
-    /// Routers to ask for what is short.
+    /// Routers to ask for the rest if the lender can't lend all.
     pub(super) others: Vec<SocketAddr>,
 }
 
@@ -50,17 +50,17 @@
     }
 }
 
-/// What is lent.
+/// A reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct LoanReply {
     version: u16,
     id: u64,
     lent: u32,
-    /// Time in milliseconds after which it is worth asking again.
+    /// Time in milliseconds after which a new request may be granted.
     again_ms: u64,
 }
 
-/// The socket, and the questions that are open.
+/// The socket, and the requests without a reply.
 #[derive(Debug, Default)]
 pub(super) struct Endpoint {
     socket: OnceCell<Rc<UdpSocket>>,
@@ -68,7 +68,7 @@
     open: RefCell<Vec<(u64, SocketAddr, oneshot::Sender<Loan>)>>,
 }
 
-/// Answers other routers and takes their answers, as long as the process runs.
+/// Handles requests and replies of other routers for as long as the process runs.
 pub async fn run(state: Rc<State>, address: SocketAddr) {
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Rc::new(socket),
@@ -83,15 +83,15 @@
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
-            // A datagram of before met a port that is closed.
+            // An earlier datagram reached a closed port.
             Err(e) => {
-                log::debug!("gateway: receiving a datagram failed: {e}");
+                log::debug!("gateway: a datagram could not be received: {e}");
                 continue;
             }
         };
-        // Others than members have no part in the budget.
+        // Only members of the group have a share of the budget.
         if state.sharing.others(state.now()).binary_search(&from).is_err() {
-            log::debug!("gateway: a datagram of {from}, which is no member, is left out");
+            log::debug!("gateway: datagram from {from} ignored: not a member of the group");
             continue;
         }
         state.repeats.mark_alive(from);
@@ -102,7 +102,7 @@
             Ok(Datagram::Loan(answer)) if answer.version == VERSION => {
                 receive_reply(&state, &answer, from);
             }
-            other => log::debug!("gateway: a datagram of {from} is left out: {other:?}"),
+            other => log::debug!("gateway: datagram from {from} ignored: {other:?}"),
         }
     }
 }
@@ -124,7 +124,7 @@
     let again_ms = loan.again.as_millis() as u64;
     let answer = LoanReply { version: VERSION, id, lent: loan.lent, again_ms };
     if let Err(e) = send(state, &Datagram::Loan(answer), to).await {
-        log::debug!("gateway: a loan was not sent to {to}: {e}");
+        log::debug!("gateway: loan could not be sent to {to}: {e}");
     }
 }
 
@@ -134,7 +134,7 @@
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
         let loan = Loan { lent: answer.lent, again: Duration::from_millis(answer.again_ms) };
-        // Nobody waits where the question's time is up.
+        // Fails if the request has timed out in the meantime.
         let _ = waits.send(loan);
     }
 }
@@ -147,7 +147,7 @@
     }
 }
 
-/// Asks a router; what it lends, if it says so within `limit`.
+/// Requests a loan from a router. None if there is no reply within `limit`.
 pub(super) async fn ask(
     state: &State,
     service: &str,
@@ -156,7 +156,7 @@
     limit: Duration,
 ) -> Option<Loan> {
     let (endpoint, to) = (&state.repeats.endpoint, ask.lenders[0]);
-    // A late answer to the process before this one is none to a question of this one.
+    // Ids begin at the incarnation, so that a late reply to the previous process matches no request of this one.
     let id =
         state.sharing.incarnation().wrapping_add(endpoint.next.replace(endpoint.next.get() + 1));
     let (sender, answered) = oneshot::channel();
@@ -172,7 +172,7 @@
     let loan = match send(state, &Datagram::Ask(question), to).await {
         Ok(()) => timeout(limit, answered).await.ok().and_then(Result::ok),
         Err(e) => {
-            log::debug!("gateway: a question for repeats was not sent to {to}: {e}");
+            log::debug!("gateway: request for retries could not be sent to {to}: {e}");
             None
         }
     };
--- a/crates/gateway/src/retries/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -1,13 +1,14 @@
-//! What a router's process tells the next one of its repeats.
+//! Handover of the use of retries from one process of a router to the next.
 //!
-//! Load pattern: the routers are restarted one after the other, while servers die. What the process before used counts in
-//! the same window, so each new one may use next to nothing of its part for the length of it, and nothing can be borrowed
-//! from it either.
+//! Load pattern: the routers are restarted one after the other, while servers die. The retries of the previous process
+//! count in the same window, so each new process may use next to nothing of its share for the length of the window, and
+//! others can borrow nothing from it either.
 //!
-//! A process that is told to stop knows what it used. It writes that down as its last act, and the next one goes on with
-//! the rest. Each process first writes down that it has started, and an end counts only if it is the last record before
-//! that: the end of a process before the last one, or one that arrives late, says nothing of what was used since. A start
-//! that the store does not take is tried again; an end counts for a few seconds, in which that can't go wrong for long.
+//! A process that is asked to stop writes a record of the retries that it used as its last action, and its successor
+//! continues with the rest. Each process first appends a record of its start. An end record is valid only if it is the
+//! last one before that start: the end of an earlier process, or one that arrives late, lacks what was used since. If the
+//! start record can't be appended, this is retried. An end record is valid for a few seconds only, which bounds the effect
+//! of such a failure.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,49 +23,49 @@
 use crate::state::State;
 use crate::store::{Call, Era, Fault, Offset, Reply};
 
-/// Longest wait of a process that starts before it writes that down, so that hundreds do not do so at once.
+/// Longest random delay before the record of a start, so that hundreds of processes don't write at once.
 const MAX_START_DELAY: Duration = Duration::from_millis(200);
 
-/// Time that a process which ends gets to hand over.
+/// Time limit for the handover of a process that ends.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause after the store did not take the record of a start.
+/// Pause before the record of a start that could not be appended is retried.
 const START_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after its end for which what a process handed over counts.
+/// Age up to which an end record is valid.
 const MAX_HANDOVER_AGE: Duration = Duration::from_secs(5);
 
-/// Records before its own that a process looks at. Older ones may have been deleted, and a read that begins with one of
-/// those gives nothing; an answer may also hold fewer than there are.
+/// Numbers of records before its own that a process tries to read. Older records may have been deleted, and a read that
+/// begins at a deleted one returns nothing; a reply may also hold fewer records than there are.
 const READ_BACK: [Offset; 3] = [256, 16, 1];
 
-/// Most by which the clocks of one VM may differ in the time between two processes.
+/// Largest difference between two clocks of one VM in their measure of the time between two processes.
 const MAX_CLOCK_SKEW: Duration = Duration::from_millis(100);
 
-/// A record.
+/// A record in the router's own log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Record {
     /// A process has started.
     Start {
-        /// Its VM.
+        /// VM of the process.
         vm: String,
-        /// Its number.
+        /// Incarnation of the process.
         process: u64,
     },
     /// A process has ended.
     End {
-        /// Its VM.
+        /// VM of the process.
         vm: String,
-        /// Its number.
+        /// Incarnation of the process.
         process: u64,
-        /// Era of the store in which it ended.
+        /// Era of the store at the end of the process.
         era: Era,
-        /// The wall clock then, in milliseconds of Unix time.
+        /// Wall clock at the end, in milliseconds of Unix time.
         clock_ms: u64,
-        /// The clock of the VM that counts suspended time, in milliseconds.
+        /// Clock of the VM that counts suspended time, in milliseconds.
         boot_ms: u64,
-        /// What counts of each service's repeats.
+        /// Use of retries by service.
         services: Vec<(String, Handover)>,
     },
 }
@@ -74,28 +75,28 @@
         Bytes::from(serde_json::to_vec(self).expect("plain fields"))
     }
 
-    /// Reads a record of a VM; none if it is another VM's, or of another version.
+    /// Decodes a record. None if it belongs to another VM than `of` or has another format.
     fn decode(record: &[u8], of: &str) -> Option<Record> {
         let record: Record = serde_json::from_slice(record).ok()?;
         let (Record::Start { vm, .. } | Record::End { vm, .. }) = &record;
         (vm == of).then_some(record)
     }
 
-    /// Number of the process that wrote it.
+    /// Incarnation of the process that wrote the record.
     fn process(&self) -> u64 {
         let (Record::Start { process, .. } | Record::End { process, .. }) = self;
         *process
     }
 }
 
-/// What is known of the processes before and after this one.
+/// State of the handover from the previous process and to the next one.
 #[derive(Debug, Default)]
 pub(super) struct Status {
-    /// Offset after the record of this process's start, and the era that it belongs to.
+    /// Offset after the start record of this process, and the era of that offset.
     started: Cell<Option<(Offset, Era)>>,
-    /// Whether what the process before used is counted.
+    /// Whether the retries that the previous process used have been counted.
     taken: Cell<bool>,
-    /// Whether this process uses and lends nothing more of its own parts.
+    /// Whether this process has stopped using and lending its own shares.
     ended: Cell<bool>,
 }
 
@@ -109,7 +110,7 @@
     }
 }
 
-/// Counts what the process before this one used, if it said so.
+/// Counts the retries that the previous process used, if it handed them over.
 pub async fn take_over(state: Rc<State>) {
     if state.setup.first_start {
         return;
@@ -128,7 +129,7 @@
     let own = state.sharing.incarnation();
     match before.into_iter().rfind(|record| record.process() != own) {
         Some(Record::End { era, clock_ms, boot_ms, services, .. }) => {
-            // A copy that the store came back from may lack records of processes in between.
+            // In another era, the store may have been restored from a copy that lacks records of later processes.
             let gap = gap(&state, clock_ms, boot_ms).filter(|gap| *gap < MAX_HANDOVER_AGE);
             let Some(gap) = gap.filter(|_| era == state.store.era()) else {
                 return log::info!("gateway: repeats not taken_over why=unknown age era={era}");
@@ -147,7 +148,7 @@
     }
 }
 
-/// Writes down that this process has started; records of this VM before that, the oldest first.
+/// Appends the start record of this process. Returns earlier records of this VM, the oldest first.
 async fn record_start(state: &State) -> Result<Vec<Record>, Fault> {
     let (vm, process) = (state.setup.vm.clone(), state.sharing.incarnation());
     let end = append(state, &Record::Start { vm: vm.clone(), process }, None).await?;
@@ -176,8 +177,8 @@
     }
 }
 
-/// Time from the end of the process before to the start of this one; none if the clocks differ on it, as one may have
-/// jumped, or the VM was started anew.
+/// Time from the end of the previous process to the start of this one. None if the two clocks disagree, because one of
+/// them has jumped or the VM has been restarted.
 fn gap(state: &State, clock_ms: u64, boot_ms: u64) -> Option<Duration> {
     let now = state.now();
     let since = |clock: Duration, then: u64| {
@@ -187,11 +188,13 @@
     (wall.abs_diff(boot) <= MAX_CLOCK_SKEW).then_some(wall.min(boot))
 }
 
-/// Ends the use of repeats, and hands over to the next process.
+/// Ends the use of retries, and hands over to the next process.
 pub async fn hand_over(state: &State) {
     state.repeats.handover.ended.set(true);
     let Some(services) = state.close_budgets() else {
-        return log::info!("gateway: repeats not handed_over why=this process is young");
+        return log::info!(
+            "gateway: repeats not handed_over why=this process has started only recently"
+        );
     };
     let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
     match timeout(HANDOVER_TIMEOUT, write_end(state, services)).await {
@@ -230,19 +233,19 @@
     }
 }
 
-/// Writes the start down again, as the record of it was deleted or never written; the offset after it.
+/// Appends the start record again, because it has been deleted or was never written. Returns the offset after it.
 async fn rerecord_start(state: &State) -> Result<Offset, Fault> {
     let (before, own) = (record_start(state).await?, state.sharing.incarnation());
     let started = state.repeats.handover.started.get();
     match (before.last(), started) {
-        // Another process has started since; it does not know that this one still runs.
+        // Another process has started since, which does not know that this one still runs.
         (Some(last), _) if last.process() != own => Err(Fault::Moved { end: None }),
         (_, Some((end, _))) => Ok(end),
         (_, None) => Err(Fault::Moved { end: None }),
     }
 }
 
-/// Where the log ends that held nothing of this VM from an offset on.
+/// End of the log, if it holds no record of this VM from an offset on.
 async fn after_others(state: &State, from: Offset) -> Result<Offset, Fault> {
     let vm = state.setup.vm.clone();
     match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await? {
--- a/crates/gateway/src/retries/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -1,8 +1,8 @@
-//! Heavy use of the retry budget, of which routers that start have to know.
+//! Reports heavy use of the retry budget, so that routers that start later know of it.
 //!
-//! Load pattern: a quarter of the servers dies, the routers use most of the budget, and then all of them lose power. What
-//! the processes before used counts in the same window, and nobody is left who remembers it. So heavy use is also written
-//! to the store; a router that finds no word of it uses part of its budget at once.
+//! Load pattern: a quarter of the servers dies, the routers use most of the budget, and then all of them lose power. The
+//! retries of the previous processes count in the same window, but no running process has a record of them. Heavy use is
+//! therefore also written to the store; a router that finds no report of it uses part of its budget at once.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -13,40 +13,40 @@
 use crate::notice::Notice;
 use crate::state::State;
 
-/// Time after which heavy use that goes on is told again.
+/// Time after which continuing heavy use is reported again.
 const REPORT_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Most by which the clocks of two VMs differ.
+/// Largest difference assumed between the clocks of two VMs.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(10);
 
 /// What is known of heavy use.
 #[derive(Debug, Default)]
 pub(super) struct Heavy {
-    /// When some router last told of it, by this process's time.
-    told: Cell<Option<Duration>>,
+    /// When any router last reported it, in time since this process started.
+    reported: Cell<Option<Duration>>,
     before: Cell<Before>,
 }
 
-/// Tells the others if this router uses its part heavily and nobody has just said so.
+/// Reports it to the other routers if this one uses its share heavily and no recent report is known.
 pub(super) fn report_use(state: &State, service: &str) {
     let (now, routers) = (state.now(), state.routers());
-    let fresh = |told: Duration| now < told + REPORT_INTERVAL;
-    if state.repeats.heavy.told.get().is_some_and(fresh)
+    let recent = |reported: Duration| now < reported + REPORT_INTERVAL;
+    if state.repeats.heavy.reported.get().is_some_and(recent)
         || !state.budget(service, |budget| budget.is_heavy(now, routers))
     {
         return;
     }
-    state.repeats.heavy.told.set(Some(now));
-    log::info!("gateway: repeats service={service} heavy use is told");
+    state.repeats.heavy.reported.set(Some(now));
+    log::info!("gateway: repeats service={service} heavy use reported");
     state.announce(Notice::Heavy { at_ms: clock::wall().as_millis() as u64 });
 }
 
-/// Hears of heavy use.
+/// Records a report of heavy use.
 pub fn receive_heavy_use(state: &State) {
-    state.repeats.heavy.told.set(Some(state.now()));
+    state.repeats.heavy.reported.set(Some(state.now()));
 }
 
-/// Takes over what was said of heavy use before this process started.
+/// Records a report that was written to the store at `at_ms` of Unix time, unless it has expired.
 pub fn replay_heavy_use(state: &State, at_ms: u64) {
     let age = clock::wall().saturating_sub(Duration::from_millis(at_ms));
     if age < REPORT_INTERVAL + state.setup.retry_window + MAX_CLOCK_SKEW {
@@ -54,17 +54,17 @@
     }
 }
 
-/// Notes that all that was said before this process started was taken over.
+/// Records that all reports from before the start of this process have been read.
 pub fn finish_replay(state: &State) {
     let heavy = &state.repeats.heavy;
-    let before = if heavy.told.get().is_some() { Before::Unknown } else { Before::Light };
+    let before = if heavy.reported.get().is_some() { Before::Unknown } else { Before::Light };
     heavy.before.set(before);
     log::info!("gateway: repeats before={before:?}");
 }
 
-/// What is known of the process before this one.
+/// What is known of the use of retries by the process before this one.
 pub fn predecessor(state: &State) -> Before {
-    // Until the members are known, a part may be taken for larger than it is.
+    // As long as the members are unknown, the share may be overestimated.
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
     match () {
         () if state.setup.first_start => Before::First,
--- a/crates/gateway/src/retries/lender.rs
+++ b/crates/gateway/src/retries/lender.rs
@@ -1,4 +1,4 @@
-//! Lends repeats to other routers.
+//! Lends retries to other routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use super::{HEDGE_DELAY, heavy};
 use crate::state::State;
 
-/// Time after which a router that does not know a service is asked again.
+/// Time after which a router that does not know the service may be asked again.
 const UNKNOWN_SERVICE_DELAY: Duration = Duration::from_secs(1);
 
-/// Lends repeats out of this router's own part.
+/// Lends retries out of this router's own share.
 pub(super) fn lend(state: &State, service: &str, need: Need, want: u32) -> Loan {
     let (now, routers) = (state.now(), state.routers());
     let known = state.settings().is_some_and(|settings| settings.service(service).is_some());
@@ -28,7 +28,7 @@
     loan
 }
 
-/// Asks members of the group in the name of another router, for what this one can't lend itself.
+/// Asks other members of the group on behalf of a router for retries that this one can't lend itself.
 pub(super) async fn ask_others_for(state: &State, question: &LoanRequest, want: u32) -> Loan {
     let members = state.sharing.others(state.now());
     let known = question.others.iter().copied();
