--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -89,8 +89,8 @@
     Some(answer::own_after(Reason::Crashes, Some(left)))
 }
 
-/// Waits until a request may be sent; a suspect runs beside no other suspect. Fails if the request is refused. One whose
-/// answer has `begun` continues unless its content is in quarantine.
+/// Waits until a request may be sent; a suspect runs beside no other suspect. Fails if the request is refused. One
+/// whose answer has `begun` continues unless its content is in quarantine.
 pub async fn admit<'a>(
     state: &'a State,
     call: &Call,
@@ -109,8 +109,8 @@
     }
 }
 
-/// Records that the connection broke over which a request ran, after `events` events of its answer in all. The task ends
-/// when the probe has shown whether the server has ended.
+/// Records that the connection broke over which a request ran, after `events` events of its answer in all. The task
+/// ends when the probe has shown whether the server has ended.
 pub fn record_broken_run(
     state: &Rc<State>,
     call: &Call,
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -1,8 +1,9 @@
 //! Rate limits that overloaded backend servers set for all routers together.
 //!
 //! A server's answers name how many requests a second it accepts from all routers. The first router that reads this
-//! notifies the others. From then on, a request to that server needs a permit. One router owns the ledger of the permits
-//! ([`policy::quota`]): every router derives the same owner from the members of the group and the id of the server.
+//! notifies the others. From then on, a request to that server needs a permit. One router owns the ledger of the
+//! permits ([`policy::quota`]): every router derives the same owner from the members of the group and the id of the
+//! server.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -136,8 +137,8 @@
     }
 }
 
-/// Parses the value of a header field as requests a second, rounded to the thousandths that notices carry. None if it is
-/// no valid limit.
+/// Parses the value of a header field as requests a second, rounded to the thousandths that notices carry. None if it
+/// is no valid limit.
 ///
 /// ```
 /// use hyper::header::HeaderValue;
@@ -152,8 +153,8 @@
     (limit.is_finite() && limit >= 0.0).then(|| (limit * 1e3).round() / 1e3)
 }
 
-/// Records the limit that a server's answer names, to a request that was sent `took` ago. `own` says that the answer comes
-/// from the server itself, so that it has no limit if it names none.
+/// Records the limit that a server's answer names, to a request that was sent `took` ago. `own` says that the answer
+/// comes from the server itself, so that it has no limit if it names none.
 pub fn record(
     state: &Rc<State>,
     peer: &Rc<Peer>,
@@ -205,8 +206,8 @@
     }
 }
 
-/// Requests permits for those servers of a service that have limits and to which `suits` applies, as soon as a request is
-/// due, and waits up to [`ANSWER_TIMEOUT`] for the replies.
+/// Requests permits for those servers of a service that have limits and to which `suits` applies, as soon as a request
+/// is due, and waits up to [`ANSWER_TIMEOUT`] for the replies.
 pub async fn request_permits(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
     let mut peers = state.of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -1,8 +1,8 @@
 //! Retries of requests, out of the budget that all routers share.
 //!
-//! A router uses its own share of the budget of a service ([`policy::window`]) and borrows from other routers when that is
-//! used up ([`policy::loan`]). One request for a loan covers everything that waits for retries. Loans are requested by
-//! datagram, since a request is worthless after some milliseconds and goes to many routers with which there is no
+//! A router uses its own share of the budget of a service ([`policy::window`]) and borrows from other routers when that
+//! is used up ([`policy::loan`]). One request for a loan covers everything that waits for retries. Loans are requested
+//! by datagram, since a request is worthless after some milliseconds and goes to many routers with which there is no
 //! connection yet.
 
 mod datagram;
@@ -124,7 +124,7 @@
     let taken = state.repeats.account(service, need).borrower.borrow_mut().take(now)
         || state.budget(service, |budget| budget.take_for(need, now, routers));
     match taken {
-        true => heavy::report_use(state, service),
+        true => heavy::note_use(state, service),
         false => {
             state.repeats.refused.set(state.repeats.refused.get() + 1);
             state.metrics.budget_empty();
--- a/crates/gateway/src/retries/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -6,9 +6,9 @@
 //!
 //! A process that is asked to stop writes a record of the retries that it used as its last action, and its successor
 //! continues with the rest. Each process first appends a record of its start. An end record is valid only if it is the
-//! last one before that start: the end of an earlier process, or one that arrives late, lacks what was used since. If the
-//! start record can't be appended, this is retried. An end record is valid for a few seconds only, which bounds the effect
-//! of such a failure.
+//! last one before that start: the end of an earlier process, or one that arrives late, lacks what was used since. If
+//! the start record can't be appended, this is retried. An end record is valid for a few seconds only, which bounds the
+//! effect of such a failure.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/gateway/src/retries/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -1,8 +1,8 @@
-//! Reports heavy use of the retry budget, so that routers that start later know of it.
+//! Heavy use of the retry budget, of which routers that start have to know.
 //!
-//! Load pattern: a quarter of the servers dies, the routers use most of the budget, and then all of them lose power. The
-//! retries of the previous processes count in the same window, but no running process has a record of them. Heavy use is
-//! therefore also written to the store; a router that finds no report of it uses part of its budget at once.
+//! Load pattern: a quarter of the servers dies, the routers use most of the budget, and then all of them lose power. What
+//! the previous processes used counts in the same window, but no running process has a record of it. So heavy use is also
+//! written to the store; a router that finds no report of it uses part of its budget at once.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 /// Reports it to the other routers if this one uses its share heavily and no recent report is known.
-pub(super) fn report_use(state: &State, service: &str) {
+pub(super) fn note_use(state: &State, service: &str) {
     let (now, routers) = (state.now(), state.routers());
     let recent = |reported: Duration| now < reported + REPORT_INTERVAL;
     if state.repeats.heavy.reported.get().is_some_and(recent)
@@ -62,7 +62,7 @@
     log::info!("gateway: repeats before={before:?}");
 }
 
-/// What is known of the use of retries by the process before this one.
+/// What is known of the process before this one.
 pub fn predecessor(state: &State) -> Before {
     // As long as the members are unknown, the share may be overestimated.
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
--- a/crates/gateway/src/retries/lender.rs
+++ b/crates/gateway/src/retries/lender.rs
@@ -24,7 +24,7 @@
     }
     let loan = state.budget(service, |budget| budget.lend(need, want, now, routers));
     state.repeats.lent.set(state.repeats.lent.get() + u64::from(loan.lent));
-    heavy::report_use(state, service);
+    heavy::note_use(state, service);
     loan
 }
 
