--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -207,7 +207,7 @@
 }
 
 /// Requests permits for those servers of a service that have limits and to which `suits` applies, as soon as a request
-/// is due, and waits up to [`ANSWER_TIMEOUT`] for the replies.
+/// is due, and waits up to `ANSWER_TIMEOUT` for the replies.
 pub async fn request_permits(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
     let mut peers = state.of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -133,7 +133,7 @@
     taken
 }
 
-/// Waits until a retry is available, other routers have none, or [`MAX_BORROW_WAIT`] has passed.
+/// Waits until a retry is available, other routers have none, or `MAX_BORROW_WAIT` has passed.
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
     let account = state.repeats.account(service, need);
     let until = Instant::now() + MAX_BORROW_WAIT;
--- a/crates/layers/benches/decisions.rs
+++ b/crates/layers/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of the decisions about a model's layers, at sixty servers in three data centres: a path for a request,
-//! and the orders of a data centre whose servers are all empty.
+//! Measures the decisions about a model's layers for sixty servers in three data centres: a path for a request,
+//! and placement while all servers are empty and while all layers are held.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -12,8 +12,8 @@
 use layers::{Card, Server, Span};
 use model::{FAST, MIDDLE, SHAPE, SLOW};
 
-/// Time for which each decision is repeated.
-const REPEATED: Duration = Duration::from_millis(500);
+/// Time for which each decision is measured.
+const MEASURE_TIME: Duration = Duration::from_millis(500);
 
 fn main() {
     let empty = servers();
@@ -48,7 +48,7 @@
 
 fn measure(name: &str, decide: impl Fn()) {
     let (began, mut count) = (Instant::now(), 0_u32);
-    while began.elapsed() < REPEATED {
+    while began.elapsed() < MEASURE_TIME {
         decide();
         count += 1;
     }
--- a/crates/layers/src/lib.rs
+++ b/crates/layers/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decisions about a model that is spread over many backend servers, without a network or a clock.
+//! Decisions about a model that is distributed over many backend servers, without a network or a clock.
 //!
-//! [`placement`] says which server is to hold which layers, at the first start and after each
-//! loss, and [`path`] joins held layers to a path for one request. Both are pure functions of
-//! what is known now: whoever takes over computes the same answer from the same view, so there is
-//! no state that a lost process could take with it.
+//! [`placement`] decides which server holds which layers, at the first start and after each
+//! loss, and [`path`] combines held layers into a path for one request. Both are pure functions of
+//! the current view: a process that takes over computes the same result from the same view, so no
+//! state is lost with a process.
 
 pub mod pass;
 pub mod path;
--- a/crates/layers/src/pass.rs
+++ b/crates/layers/src/pass.rs
@@ -1,23 +1,23 @@
-//! What a backend server can do, by the passes in which its engine works.
+//! Throughput of a backend server, derived from the passes of its engine.
 //!
-//! An engine takes all that waits for it in one pass: some steps for each request that writes, and a piece
-//! of the prompts that are to be read, which is bounded. Prompts are therefore read no faster than
-//! passes follow each other, and a server whose passes take long reads a small part of what its
-//! accelerator could. A router that counts with the accelerator's rate sends such a server several
+//! An engine handles everything that waits for it in one pass: some decode steps for each running request, and
+//! a bounded chunk of the prompts that wait for prefill. Prompts are therefore read no faster than
+//! passes follow each other, and a server with long passes reads a small part of what its
+//! accelerator could. A router that calculates with the accelerator's rate sends such a server several
 //! times what it can read: first events come seconds late while the server seems almost idle.
 
 use crate::server::{Card, Shape};
 
-/// How an engine works, and what a mean request asks of it.
+/// Parameters of an engine's passes and of the mean request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pass {
-    /// Steps in a pass in which some request writes.
+    /// Decode steps in a pass in which at least one request decodes.
     pub stride: f64,
-    /// Prompt tokens that one pass reads at most.
+    /// Most prompt tokens that one pass reads.
     pub chunk: f64,
-    /// Time that each writing request adds to a step through all layers at pace 1, in milliseconds.
+    /// Time that each decoding request adds to a step through all layers at pace 1, in milliseconds.
     pub per_seq_ms: f64,
-    /// Requests that a server runs at once as the first one of their paths.
+    /// Requests that a server runs at once as the first server of their paths.
     pub slots: f64,
     /// Mean tokens of a prompt.
     pub prompt: f64,
@@ -25,16 +25,16 @@
     pub answer: f64,
 }
 
-/// Part of a server's time in which it reads prompts, where nothing is known of its passes. Steps of running
-/// requests take the rest; beyond this, their pauses grow.
-const READING: f64 = 0.6;
+/// Share of a server's time for prefill, if its passes are unknown. Decode steps of running requests take the
+/// rest; with more prefill, the pauses between their events grow.
+const PREFILL_SHARE: f64 = 0.6;
 
 impl Shape {
-    /// Mean requests that a server with that many layers serves in a millisecond at most, with
-    /// `slow` as the factor on all its times. None if nothing is known of its passes.
+    /// Most mean requests that a server with that many layers serves in a millisecond, with
+    /// `slow` as the factor on all its times. None if its passes are unknown.
     ///
-    /// A pass takes `a + b * requests`: its steps, and what the requests that came since the pass before
-    /// add to them. The rate is the one at which the prompts of those requests just fill a pass.
+    /// A pass takes `a + b * requests`: its steps, and what the requests that arrived since the previous pass
+    /// add to them. The result is the rate at which the prompts of those requests exactly fill a pass.
     ///
     /// ```
     /// # use layers::{Card, Shape, pass::Pass};
@@ -56,7 +56,7 @@
     }
 
     /// Time of a pass of a server with that many layers that gets `rate` mean requests in a millisecond, in
-    /// milliseconds; infinite if it can't keep up, zero if nothing is known of its passes.
+    /// milliseconds. Infinite if the server can't keep up, zero if its passes are unknown.
     pub fn pass_ms(&self, card: &Card, layers: u32, rate: f64) -> f64 {
         let Some(pass) = self.pass else { return 0.0 };
         let (steps, request) = self.costs(&pass, card, layers, 1.0);
@@ -66,23 +66,23 @@
         }
     }
 
-    /// What a pass takes without any request, and what each mean request adds to passes, in milliseconds.
+    /// Time of a pass without requests, and the time that each mean request adds to passes, in milliseconds.
     fn costs(&self, pass: &Pass, card: &Card, layers: u32, slow: f64) -> (f64, f64) {
         let part = f64::from(layers) / f64::from(self.layers) * slow;
         let steps = part * pass.stride * card.pace * self.step_ms;
         let events = pass.answer / pass.stride;
-        let writing = part * pass.stride * card.pace * pass.per_seq_ms * events;
-        let reading = part * card.read * pass.prompt / self.read_per_ms;
-        (steps, writing + reading)
+        let decode = part * pass.stride * card.pace * pass.per_seq_ms * events;
+        let prefill = part * card.read * pass.prompt / self.read_per_ms;
+        (steps, decode + prefill)
     }
 
-    /// Time for which a server with that many layers is busy with reading a prompt, in milliseconds.
+    /// Time that a server with that many layers spends on the prefill of a prompt, in milliseconds.
     pub fn prefill_ms(&self, card: &Card, layers: u32, slow: f64, prompt: f64) -> f64 {
         let part = f64::from(layers) / f64::from(self.layers) * slow;
-        let paper = prompt / self.read_per_ms * card.read * part / READING;
+        let nominal = prompt / self.read_per_ms * card.read * part / PREFILL_SHARE;
         match (self.pass, self.rate(card, layers, slow)) {
-            (Some(pass), Some(rate)) => (prompt / pass.prompt / rate).max(paper),
-            _ => paper,
+            (Some(pass), Some(rate)) => (prompt / pass.prompt / rate).max(nominal),
+            _ => nominal,
         }
     }
 }
--- a/crates/layers/src/path.rs
+++ b/crates/layers/src/path.rs
@@ -1,17 +1,17 @@
 //! The path of one request through held layers.
 //!
 //! Load pattern: a server dies or leaves, and its layers are missing from one data centre for the
-//! seconds that loading them elsewhere takes. With fixed chains that data centre answers nothing
-//! meanwhile. Here any run of layers can follow any other, so the missing layers are borrowed from
-//! wherever they are held, at the price of crossing links.
+//! seconds that loading them elsewhere takes. With fixed chains, that data centre answers nothing
+//! in this time. Here any span of layers can follow any other, so the missing layers are run
+//! wherever they are held, at the cost of crossing links between data centres.
 //!
-//! It is a shortest path over the boundaries of all held spans, by dynamic programming: a few
-//! thousand steps for forty servers.
+//! The search is a shortest path over the boundaries of all held spans, by dynamic programming: a
+//! few thousand steps for forty servers.
 
 use crate::server::{Index, Zone};
 use crate::span::Span;
 
-/// Parts a path may have at most; backend servers refuse longer ones.
+/// Most parts of a path. Backend servers refuse longer paths.
 pub const MAX_PARTS: usize = 32;
 
 /// Layers on one server that a path may use.
@@ -21,13 +21,13 @@
     pub server: Index,
     /// Its data centre.
     pub zone: Zone,
-    /// What it holds.
+    /// The layers it holds.
     pub span: Span,
     /// Cost of running one layer there, in milliseconds for the whole request.
     pub layer_ms: f64,
-    /// Cost of being on the path at all, in milliseconds.
+    /// Fixed cost of a part on this server, in milliseconds.
     pub hop_ms: f64,
-    /// Cost of beginning a new request there, in milliseconds; infinite if it takes none as the first server.
+    /// Cost of a new request that begins there, in milliseconds. Infinite if the server accepts none as first server.
     pub begin_ms: f64,
 }
 
@@ -40,24 +40,24 @@
     pub span: Span,
 }
 
-/// Where the request comes from and what crossing links costs.
+/// The layers that a path has to cover, its origin, and the costs of crossing links.
 #[derive(Clone, Copy)]
 pub struct Query<'a> {
-    /// First layer that is still to be run.
+    /// First layer that has to be run.
     pub from: u32,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
     /// Data centre of the router that asks, or of the server that runs the layers before `from`.
     pub zone: Zone,
-    /// Cost of beginning a new request in another data centre, in milliseconds. Only its text goes there,
-    /// while what goes on behind a server crosses the link with all that was read so far.
+    /// Cost of beginning a new request in another data centre, in milliseconds. Only the text of the request is
+    /// sent there, while continuing after another server sends the activations of all tokens read so far.
     pub away_ms: f64,
-    /// Cost of going on from one data centre in another, in milliseconds; infinite if the link
-    /// between them carries no more.
+    /// Cost of continuing from one data centre in another, in milliseconds. Infinite if the link
+    /// between them has no capacity left.
     pub cross_ms: &'a dyn Fn(Zone, Zone) -> f64,
 }
 
-/// Best way found to have run all layers up to a boundary, the last of them on a given holder.
+/// Cheapest path found so far that runs all layers up to a boundary, the last of them on a given holder.
 #[derive(Debug, Clone, Copy)]
 struct Best {
     cost: f64,
@@ -66,7 +66,7 @@
     before: Option<usize>,
 }
 
-/// The cheapest path, and its cost in milliseconds. None if some layer is held nowhere.
+/// Returns the cheapest path and its cost in milliseconds. None if some layer is held nowhere.
 ///
 /// ```
 /// use layers::path::{Query, Holder, find};
@@ -79,7 +79,7 @@
 /// ```
 pub fn find(holders: &[Holder], ask: &Query<'_>) -> Option<(Vec<Part>, f64)> {
     let cuts = boundaries(holders, ask);
-    // One best entry for each boundary and data centre: what follows depends on no more.
+    // One entry for each boundary and data centre suffices, as the cost of the rest depends on nothing else.
     let mut best: Vec<Vec<Best>> = vec![Vec::new(); cuts.len()];
     for at in 0..cuts.len() {
         for (i, holder) in holders.iter().enumerate() {
@@ -94,17 +94,17 @@
                     break;
                 }
                 let cost = entry + holder.hop_ms + holder.layer_ms * f64::from(cuts[to] - cuts[at]);
-                keep(&mut best[to], Best { cost, holder: i, from: at, before }, holders);
+                insert(&mut best[to], Best { cost, holder: i, from: at, before }, holders);
             }
         }
     }
     let (last, end) =
         best.last()?.iter().enumerate().min_by(|a, b| a.1.cost.total_cmp(&b.1.cost))?;
-    let parts = join(trace(&best, &cuts, holders, last));
+    let parts = merge(trace(&best, &cuts, holders, last));
     (parts.len() <= MAX_PARTS).then_some((parts, end.cost))
 }
 
-/// Sorted ends of all spans, from the first layer wanted to the end of the model.
+/// Sorted boundaries of all spans, from the first layer of the query to the end of the model.
 fn boundaries(holders: &[Holder], ask: &Query<'_>) -> Vec<u32> {
     let mut cuts = vec![ask.from, ask.layers];
     for holder in holders {
@@ -116,7 +116,7 @@
     cuts
 }
 
-/// Cheapest cost of coming to `holder` from what ends at this boundary, and which entry that is.
+/// Lowest cost of reaching `holder` from the paths that end at this boundary, and the index of that path.
 fn enter(
     ends: &[Best],
     holder: &Holder,
@@ -143,7 +143,7 @@
     costs.filter(|(cost, _)| cost.is_finite()).min_by(|a, b| a.0.total_cmp(&b.0))
 }
 
-fn keep(ends: &mut Vec<Best>, found: Best, holders: &[Holder]) {
+fn insert(ends: &mut Vec<Best>, found: Best, holders: &[Holder]) {
     let zone = holders[found.holder].zone;
     match ends.iter_mut().find(|end| holders[end.holder].zone == zone) {
         Some(end) if end.cost <= found.cost => {}
@@ -168,17 +168,17 @@
     parts
 }
 
-/// Joins what one server runs in two places to one part. A server that appears twice on a path
-/// refuses it; since it holds one unbroken span, it can run what lies between as well.
-fn join(parts: Vec<Part>) -> Vec<Part> {
-    let mut joined: Vec<Part> = Vec::with_capacity(parts.len());
+/// Merges parts of the same server into one. A server that appears twice on a path refuses it; since it
+/// holds one contiguous span, it can also run the layers in between.
+fn merge(parts: Vec<Part>) -> Vec<Part> {
+    let mut merged: Vec<Part> = Vec::with_capacity(parts.len());
     for part in parts {
-        if let Some(at) = joined.iter().position(|p| p.server == part.server) {
-            joined.truncate(at + 1);
-            joined[at].span.to = part.span.to;
+        if let Some(at) = merged.iter().position(|p| p.server == part.server) {
+            merged.truncate(at + 1);
+            merged[at].span.to = part.span.to;
         } else {
-            joined.push(part);
+            merged.push(part);
         }
     }
-    joined
+    merged
 }
--- a/crates/layers/src/placement.rs
+++ b/crates/layers/src/placement.rs
@@ -1,12 +1,12 @@
-//! Which backend server is to hold which layers.
+//! Decides which backend server holds which layers.
 //!
-//! Load pattern: servers of unequal memory come, go and crash while requests run. Each data
-//! centre keeps a whole copy of the model where its memory allows, since activations of every
+//! Load pattern: servers of unequal memory join, leave and crash while requests run. Each data
+//! centre keeps a whole copy of the model if its memory allows, since the activations of every
 //! prompt would otherwise cross the link between data centres: 16 MB for 760 tokens, so that
 //! some seventy requests a second fill 9.3 Gbit/s. Servers that the copy does not need hold
-//! second copies of parts: they are the reserve, and a loss they cover costs nothing.
+//! second copies of some layers. They are the reserve: a loss that they cover interrupts nothing.
 //!
-//! Without repair, one lost server closes its data centre's copy for good.
+//! Without repair, one lost server makes the copy of its data centre unusable for good.
 
 mod copies;
 mod reserve;
@@ -17,83 +17,83 @@
 use crate::span::Span;
 pub use reserve::{REPLACEMENT_WINDOW, RESERVE_DELAY, defer_reserves};
 
-/// Tokens of context a data centre's copy is planned for, if its memory allows: half as much again
-/// as the hundred requests of nine hundred tokens that run when one copy carries three
-/// data centres for a while.
+/// Tokens of context for which a data centre's copy is planned, if its memory allows: half as much again
+/// as the hundred requests of nine hundred tokens that run while one copy carries the load of three
+/// data centres.
 pub const TARGET_CONTEXT_TOKENS: f64 = 150_000.0;
 
-/// Tokens of context beyond which a copy is not planned: more servers on a path cost each token a
-/// transfer, and each may break it.
+/// Most tokens of context for which a copy is planned. More context needs more servers on a path; each of them
+/// costs every token a transfer, and its loss breaks the path.
 pub const MAX_CONTEXT_TOKENS: f64 = 250_000.0;
 
-/// Tokens of context beside each of several whole copies, where memory holds them: with two, a loss breaks half
-/// as many streams, and the other copy takes them without loading anything.
+/// Tokens of context for each of several whole copies in a data centre, if its memory holds them. With two copies, a
+/// loss breaks half as many streams, and the other copy takes them over without loading anything.
 pub const MULTI_COPY_CONTEXT_TOKENS: f64 = 110_000.0;
 
-/// Part of a data centre's memory that its first copy takes. The rest holds second copies.
+/// Share of a data centre's memory for its first copy. The rest holds second copies.
 const FIRST_COPY_MEMORY_SHARE: f64 = 0.65;
 
-/// Tokens of context below which a part is not made larger, as its requests would be preempted:
-/// thirty requests of nine hundred tokens.
+/// Fewest tokens of context that a longer span must leave room for: thirty requests of nine hundred tokens.
+/// With less, requests would be preempted.
 pub const MIN_CONTEXT_TOKENS: f64 = 27_000.0;
 
-/// Whole copies that carry the load of all data centres for the seconds in which a crashed server
-/// comes back. Dealing a copy anew loads most of its layers again and holds up what passes through.
+/// Whole copies that can carry the load of all data centres for the seconds in which a crashed server
+/// restarts. Redistributing a copy loads most of its layers again and delays the requests that pass through it.
 pub const MIN_WHOLE_COPIES: usize = 2;
 
 /// An order to hold layers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Place {
-    /// The server that gets it.
+    /// The server that gets the order.
     pub server: Index,
-    /// What it is to hold from then on.
+    /// The layers that it holds from then on.
     pub span: Span,
 }
 
-/// Orders that lead from what is held to a whole copy in each data centre.
+/// Orders that lead from the layers held now to a whole copy in each data centre.
 ///
-/// Servers that are busy count as holding what they were ordered to hold and get no second order.
-/// `lasting` says that layers have been missing for longer than a crashed server needs to come back:
-/// then, or if few whole copies are left, what is held is dealt anew where it can't be repaired.
+/// Busy servers count as holding what they were ordered to hold and get no second order.
+/// `lasting` says that layers have been missing for longer than a crashed server needs to restart. In
+/// this case, or if few whole copies are left, copies that can't be repaired are redistributed.
 pub fn plan(servers: &[Server], shape: &Shape, lasting: bool) -> Vec<Place> {
     let room =
         servers.iter().filter(|s| s.usable).map(|s| s.card.capacity(shape, MIN_CONTEXT_TOKENS));
     if room.sum::<u32>() < shape.layers {
         return Vec::new();
     }
-    let mut work = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
+    let mut planner = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
     let mut zones: Vec<Zone> = servers.iter().map(|s| s.zone).collect();
     zones.sort_unstable();
     zones.dedup();
     let groups = groups(servers, shape, &zones);
     let mut whole = true;
     for group in &groups {
-        let fresh = work.members(group).all(|i| work.servers[i].span.is_empty());
+        let fresh = planner.members(group).all(|i| planner.servers[i].span.is_empty());
         if fresh {
-            work.fill(group);
+            planner.place_copies(group);
         } else {
-            whole &= work.missing(group, None).is_empty();
+            whole &= planner.missing(group, None).is_empty();
         }
-        work.repair(group);
+        planner.repair(group);
     }
-    let broken = |group: &&Vec<Zone>| !work.missing(group, None).is_empty();
+    let broken = |group: &&Vec<Zone>| !planner.missing(group, None).is_empty();
     let broken: Vec<&Vec<Zone>> = groups.iter().filter(broken).collect();
     if lasting || groups.len() - broken.len() < MIN_WHOLE_COPIES {
-        broken.into_iter().for_each(|group| work.rebuild(group));
+        broken.into_iter().for_each(|group| planner.rebuild(group));
     }
-    // Only while nothing that is missing is being loaded: loads at the same time slow each other. What can't be loaded
-    // now is no reason to leave the other groups without reserves.
-    let loads = work.servers.iter().any(|s| s.usable && s.busy);
+    // Only while no missing layers are being loaded, since simultaneous loads slow each other down. A gap that can't be
+    // closed now must not leave the other groups without reserves.
+    let loads = planner.servers.iter().any(|s| s.usable && s.busy);
     for group in &groups {
-        if whole || !loads && work.missing(group, None).is_empty() {
-            work.relieve(group);
-            work.reserve(group);
+        if whole || !loads && planner.missing(group, None).is_empty() {
+            planner.back_up_slow(group);
+            planner.reserve(group);
         }
     }
-    work.orders
+    planner.orders
 }
 
-/// Layers that no usable server of a data centre holds or is loading.
+/// Layers that no usable server of a data centre holds or loads.
 ///
 /// ```
 /// # use layers::{Card, Server, Shape, Span, placement};
@@ -105,11 +105,12 @@
 /// assert_eq!(placement::missing(&[server], &shape, 0), [Span::new(5, 8)]);
 /// ```
 pub fn missing(servers: &[Server], shape: &Shape, zone: Zone) -> Vec<Span> {
-    let work = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
-    work.missing(&[zone], None)
+    let planner = Planner { servers: servers.to_vec(), shape, orders: Vec::new() };
+    planner.missing(&[zone], None)
 }
 
-/// Data centres that hold a copy together: each alone if its memory suffices, the rest as one.
+/// Groups of data centres that hold a copy together: each data centre alone if its memory suffices, the rest as one
+/// group.
 fn groups(servers: &[Server], shape: &Shape, zones: &[Zone]) -> Vec<Vec<Zone>> {
     let holds = |zone: &Zone| {
         let cards = servers.iter().filter(|s| s.usable && s.zone == *zone).map(|s| s.card);
@@ -123,6 +124,7 @@
     groups
 }
 
+/// Servers as the orders given so far leave them, and those orders.
 struct Planner<'a> {
     servers: Vec<Server>,
     shape: &'a Shape,
@@ -135,12 +137,12 @@
         self.servers.iter().enumerate().filter(move |(_, s)| of(s)).map(|(i, _)| i)
     }
 
-    /// Servers of a group, those first that hold most for the time they take: a path through few
+    /// Servers of a group, ordered by memory per step time, the highest first: a path through few
     /// and fast servers is quicker, and fewer losses break it.
-    fn by_worth(&self, group: &[Zone]) -> Vec<Index> {
+    fn by_value(&self, group: &[Zone]) -> Vec<Index> {
         let mut order: Vec<Index> = self.members(group).collect();
-        let worth = |i: &Index| self.servers[*i].card.bytes / self.servers[*i].card.pace;
-        order.sort_by(|a, b| worth(b).total_cmp(&worth(a)).then(a.cmp(b)));
+        let value = |i: &Index| self.servers[*i].card.bytes / self.servers[*i].card.pace;
+        order.sort_by(|a, b| value(b).total_cmp(&value(a)).then(a.cmp(b)));
         order
     }
 
@@ -150,10 +152,10 @@
         self.orders.push(Place { server, span });
     }
 
-    /// First copy of an empty group: room for requests as memory allows, from [`TARGET_CONTEXT_TOKENS`] to
+    /// Places the first copies of an empty group, with context as memory allows, from [`TARGET_CONTEXT_TOKENS`] to
     /// [`MAX_CONTEXT_TOKENS`], on the fewest and fastest servers.
-    fn fill(&mut self, group: &[Zone]) {
-        let order = self.by_worth(group);
+    fn place_copies(&mut self, group: &[Zone]) {
+        let order = self.by_value(group);
         let sum = |tokens: f64| -> u32 {
             order.iter().map(|i| self.servers[*i].card.capacity(self.shape, tokens)).sum()
         };
@@ -161,10 +163,11 @@
             return;
         }
         let all = Span::new(0, self.shape.layers);
-        // What the ends of copies waste is missing from the last one, which is then a reserve.
+        // Memory that stays unused at the ends of copies is missing from the last copy, which then serves as reserve.
         let copies = sum(MULTI_COPY_CONTEXT_TOKENS) / self.shape.layers;
-        let by_rate = self.holds_copies(group).then(|| self.by_rate(&order)).flatten();
-        if let Some(spans) = by_rate {
+        let copies_by_rate =
+            self.holds_copies(group).then(|| self.copies_by_rate(&order)).flatten();
+        if let Some(spans) = copies_by_rate {
             return spans.into_iter().for_each(|(i, span)| self.order(i, span));
         }
         if copies >= 2 {
@@ -172,7 +175,7 @@
                 most(MAX_CONTEXT_TOKENS, |tokens| sum(tokens) >= copies * self.shape.layers);
             let mut rest = order;
             for _ in 0..copies {
-                rest = self.deal(&rest, all, tokens);
+                rest = self.assign(&rest, all, tokens);
             }
             return;
         }
@@ -181,10 +184,10 @@
             - self.shape.layer_bytes;
         let aim = (layer / self.shape.token_bytes).clamp(TARGET_CONTEXT_TOKENS, MAX_CONTEXT_TOKENS);
         let tokens = most(aim, |tokens| sum(tokens) >= self.shape.layers);
-        self.deal(&order, all, tokens);
+        self.assign(&order, all, tokens);
     }
 
-    /// Whether a group's memory holds several whole copies that are few enough to be weighed.
+    /// Whether a group's memory holds several whole copies, and few enough to compare ways to split it.
     fn holds_copies(&self, group: &[Zone]) -> bool {
         let cards = self.members(group).map(|i| self.servers[i].card);
         let layers: u32 =
@@ -192,8 +195,8 @@
         (2..=copies::MAX_COMPARED_COPIES).contains(&(layers / self.shape.layers))
     }
 
-    /// The copies that serve most together. None if nothing is known of the engines' passes.
-    fn by_rate(&self, members: &[Index]) -> Option<Vec<(Index, Span)>> {
+    /// The copies that together serve the highest rate. None if the engines' passes are unknown.
+    fn copies_by_rate(&self, members: &[Index]) -> Option<Vec<(Index, Span)>> {
         let mut order = members.to_vec();
         let rate = |i: &Index| self.shape.rate(&self.servers[*i].card, self.shape.layers, 1.0);
         order.sort_by(|a, b| rate(b).partial_cmp(&rate(a)).unwrap_or(Ordering::Equal));
@@ -202,8 +205,8 @@
         Some(spans.into_iter().map(|(at, span)| (order[at], span)).collect())
     }
 
-    /// Deals layers to servers in order, each with room for `tokens` of context; the servers that are left.
-    fn deal(&mut self, order: &[Index], layers: Span, tokens: f64) -> Vec<Index> {
+    /// Assigns layers to servers in order, each with room for `tokens` of context. Returns the servers left over.
+    fn assign(&mut self, order: &[Index], layers: Span, tokens: f64) -> Vec<Index> {
         let mut at = layers.from;
         let mut left = Vec::new();
         for i in order {
@@ -219,7 +222,7 @@
         left
     }
 
-    /// Runs of layers that no usable server of the group holds.
+    /// Spans of layers that no usable server of the group holds, `but` left out.
     fn missing(&self, group: &[Zone], but: Option<Index>) -> Vec<Span> {
         let mut held = vec![false; self.shape.layers as usize];
         for i in self.members(group).filter(|i| Some(*i) != but) {
@@ -229,20 +232,20 @@
         Span::gaps(&held)
     }
 
-    /// Whether the group would miss nothing without this server.
+    /// Whether the group holds all layers of this server elsewhere.
     fn redundant(&self, group: &[Zone], server: Index) -> bool {
         let span = self.servers[server].span;
         let gaps = self.missing(group, Some(server));
         span.is_empty() || gaps.iter().all(|gap| gap.to <= span.from || span.to <= gap.from)
     }
 
-    /// Gives missing layers to servers that hold nothing needed, then to neighbours with room.
+    /// Assigns missing layers to redundant servers, then to the servers beside the gap if they have room.
     fn repair(&mut self, group: &[Zone]) {
-        // Each round orders one server at least, so the rounds are bounded by the servers.
+        // Each round orders at least one server, so the number of servers bounds the rounds.
         while let Some(gap) = self.missing(group, None).first().copied() {
-            // Longer spans leave less memory for requests, so they come last.
-            let done = self.take_spare(group, gap, true)
-                || self.take_spare(group, gap, false)
+            // Longer spans leave less memory for requests, so they are the last resort.
+            let done = self.assign_spare(group, gap, true)
+                || self.assign_spare(group, gap, false)
                 || self.extend(group, gap);
             if !done {
                 return;
@@ -250,20 +253,20 @@
         }
     }
 
-    /// Closes gaps beside which no memory is free: the servers around a gap share their layers and
-    /// its own anew, as few of them as have the memory together. Each keeps its place in the order,
-    /// so most of what they hold stays. Nothing whole is taken apart, as the group has no whole copy.
+    /// Closes gaps beside which no memory is free: redistributes the missing layers and those of the
+    /// servers around the gap among the fewest servers that have the memory. Each keeps its position
+    /// in the order, so most layers stay where they are. This breaks no whole copy, as the group has none.
     fn rebuild(&mut self, group: &[Zone]) {
         for gap in self.missing(group, None) {
             if let Some(window) = self.window(group, gap) {
                 let layers = self.extent(&window, gap);
                 let tokens = self.room(&window, layers);
-                self.deal(&window, layers, tokens);
+                self.assign(&window, layers, tokens);
             }
         }
     }
 
-    /// The fewest servers around a gap that can hold it and what they hold.
+    /// The fewest servers around a gap that together can hold the gap and their own layers.
     fn window(&self, group: &[Zone], gap: Span) -> Option<Vec<Index>> {
         let free = |i: &Index| !self.servers[*i].busy && !self.servers[*i].span.is_empty();
         let mut order: Vec<Index> = self.members(group).filter(free).collect();
@@ -282,13 +285,13 @@
         })
     }
 
-    /// The layers from the first to the last of those that servers hold and of a gap.
+    /// The smallest span that contains a gap and the layers of the servers of a window.
     fn extent(&self, window: &[Index], gap: Span) -> Span {
         let spans = window.iter().map(|i| self.servers[*i].span);
         spans.fold(gap, |all, s| Span::new(all.from.min(s.from), all.to.max(s.to)))
     }
 
-    /// Tokens of context that fit beside these layers on these servers, [`TARGET_CONTEXT_TOKENS`] at most.
+    /// Tokens of context that fit beside these layers on these servers, at most [`TARGET_CONTEXT_TOKENS`].
     fn room(&self, order: &[Index], layers: Span) -> f64 {
         most(TARGET_CONTEXT_TOKENS, |tokens| {
             let cards = order.iter().map(|i| self.servers[*i].card);
@@ -296,12 +299,12 @@
         })
     }
 
-    /// Gives a gap to a server that holds nothing or nothing needed.
+    /// Assigns a gap to a server that is empty, or to one whose layers are redundant.
     ///
-    /// A server that gives layers up first lets everything end that passes through them, which takes
+    /// A server that gives up layers first completes all requests that pass through them, which takes
     /// seconds on the fast cards that most paths use. So an empty server is best, and then the one
-    /// that gives up least.
-    fn take_spare(&mut self, group: &[Zone], gap: Span, empty: bool) -> bool {
+    /// that gives up the fewest layers.
+    fn assign_spare(&mut self, group: &[Zone], gap: Span, empty: bool) -> bool {
         let members: Vec<Index> = self.members(group).collect();
         let spare = |i: &Index| {
             let server = &self.servers[*i];
@@ -320,7 +323,7 @@
         true
     }
 
-    /// Makes the spans on both sides of a gap longer.
+    /// Extends the spans on both sides of a gap.
     fn extend(&mut self, group: &[Zone], gap: Span) -> bool {
         let room = |i: Index| {
             let server = &self.servers[i];
@@ -348,7 +351,7 @@
     }
 }
 
-/// Largest number up to `top` for which `fits` holds, to one part in 65,536.
+/// Largest number up to `top` for which `fits` is true, to within `top / 65,536`.
 fn most(top: f64, fits: impl Fn(f64) -> bool) -> f64 {
     if fits(top) {
         return top;
--- a/crates/layers/src/placement/reserve.rs
+++ b/crates/layers/src/placement/reserve.rs
@@ -1,4 +1,4 @@
-//! Second copies: those that cover the loss of a server, and those that stand in for a slow one.
+//! Second copies of layers: those that cover the loss of a server, and those that replace a slow one.
 
 use std::time::Duration;
 
@@ -6,28 +6,29 @@
 use crate::server::{Index, Server, Shape, Zone};
 use crate::span::Span;
 
-/// Tokens of context beside a second copy.
+/// Tokens of context for which a second copy leaves room.
 pub const RESERVE_CONTEXT_TOKENS: f64 = 100_000.0;
 
 /// Factor on the times of a server that counts as slow.
-const SLOW: f64 = 6.0;
+const SLOW_FACTOR: f64 = 6.0;
 
-/// Time after its start for which a server is kept empty if nothing is missing.
+/// Time after its start in which a server gets no second copy if no layers are missing.
 pub const RESERVE_DELAY: Duration = Duration::from_millis(1500);
 
-/// Time in which a server that starts takes the place of one that was lost.
+/// Time after the loss of a server in which one that starts counts as its replacement.
 pub const REPLACEMENT_WINDOW: Duration = Duration::from_secs(10);
 
-/// Leaves out the orders by which servers that have just started would hold second copies.
+/// Removes the orders for second copies to servers that have just started.
 ///
-/// Load pattern: a release replaces servers one after the other; each new one starts up to a second before the old one leaves. An
-/// empty server loads what the old one held in a second or two. If it is busy with a second copy, a server that holds another one
-/// has to give that up first, which takes until all that passes through it has ended; meanwhile the data centre begins nothing,
-/// and the copies that are left carry all requests when the next server dies.
+/// Load pattern: a release replaces servers one after the other; each new one starts up to a second before the old one
+/// leaves. An empty server loads what the old one held in a second or two. If it is busy with a second copy instead, a
+/// server that holds another second copy has to give that up first, which takes until all requests that pass through it
+/// have ended. In this time the data centre begins no requests, and the remaining copies carry all of them when the
+/// next server dies.
 ///
-/// A server that comes back after a crash replaces none that is still to leave, and its data centre lacks the second copies that went
-/// with it. `lost` tells how long ago a data centre lost servers, within [`REPLACEMENT_WINDOW`]: of those that have started since, as many are
-/// not kept.
+/// A server that restarts after a crash replaces none that has yet to leave, and its data centre lacks the second
+/// copies that the crashed one held. `lost` returns how long ago a data centre lost servers, within
+/// [`REPLACEMENT_WINDOW`]; the orders of as many servers that have started since are not removed.
 ///
 /// ```
 /// use std::time::Duration;
@@ -77,18 +78,18 @@
 }
 
 impl Planner<'_> {
-    /// Has servers that hold nothing needed take the layers that only slow servers hold.
+    /// Orders redundant servers to hold the layers that only slow servers hold.
     ///
     /// Load pattern: a card throttles and works ten times slower. It reads fewer prompts than the others of
-    /// its data centre, whose requests all wait for it. What it holds is not taken away: where no
+    /// its data centre, and all requests there wait for it. It keeps its layers: where no
     /// other server is free, slow layers are better than none.
-    pub(super) fn relieve(&mut self, group: &[Zone]) {
+    pub(super) fn back_up_slow(&mut self, group: &[Zone]) {
         let slow: Vec<Index> = self.members(group).filter(|i| self.servers[*i].slow).collect();
         slow.iter().for_each(|i| self.servers[*i].usable = false);
         for gap in self.missing(group, None) {
             let mut left = gap;
             while !left.is_empty()
-                && (self.take_spare(group, left, true) || self.take_spare(group, left, false))
+                && (self.assign_spare(group, left, true) || self.assign_spare(group, left, false))
             {
                 let taken = self.orders.last().map_or(left.to, |order| order.span.to);
                 left = Span::new(taken.min(left.to), left.to);
@@ -97,10 +98,10 @@
         slow.iter().for_each(|i| self.servers[*i].usable = true);
     }
 
-    /// Lets empty servers hold second copies, so that as many servers as possible may be lost without a gap.
+    /// Orders empty servers to hold second copies, so that the loss of as many servers as possible leaves no gap.
     pub(super) fn reserve(&mut self, group: &[Zone]) {
         let empty: Vec<Index> = self
-            .by_worth(group)
+            .by_value(group)
             .into_iter()
             .filter(|i| self.servers[*i].span.is_empty() && !self.servers[*i].busy)
             .collect();
@@ -110,21 +111,21 @@
                 .card
                 .capacity(self.shape, RESERVE_CONTEXT_TOKENS)
                 .min(self.shape.layers);
-            let thin = several.then(|| self.thinnest(group, i, len)).flatten();
+            let slowest = several.then(|| self.slowest_layers(group, i, len)).flatten();
             if len > 0 {
-                let span = thin.unwrap_or_else(|| self.safest(group, len));
+                let span = slowest.unwrap_or_else(|| self.best_cover(group, len));
                 self.order(i, span);
             }
         }
     }
 
-    /// The layers, `most` at most, of which a server raises the rate best: those that a data centre's servers
-    /// can run for the fewest requests. None if nothing is known of the engines' passes.
+    /// The layers, at most `most`, that a server should hold to raise the group's rate most: those that its servers
+    /// can run for the fewest requests. None if the engines' passes are unknown.
     ///
-    /// Load pattern: a fast server crashes and comes back empty. Another copy holds its layers too, but that one is
-    /// slow, and all requests of the data centre now pass through it there. Were the server given other layers,
-    /// that would last.
-    fn thinnest(&self, group: &[Zone], server: Index, most: u32) -> Option<Span> {
+    /// Load pattern: a fast server crashes and restarts empty. Another copy holds its layers too, but that one is
+    /// slow, and all requests of the data centre now pass through it for these layers. If the restarted server got
+    /// other layers, this would last.
+    fn slowest_layers(&self, group: &[Zone], server: Index, most: u32) -> Option<Span> {
         let whole = self.rate(server, self.shape.layers)?;
         let mut rates = vec![0.0; self.shape.layers as usize];
         for i in self.members(group) {
@@ -135,12 +136,12 @@
         let mut sorted = rates.clone();
         sorted.sort_by(f64::total_cmp);
         let (least, usual) = (sorted[0], sorted[sorted.len() / 2]);
-        // As many layers as it runs for what the thinnest ones lack.
+        // As many layers as the server can run at the rate that the slowest ones lack.
         let lack = (usual - least).max(whole);
         let len = (whole * f64::from(self.shape.layers) / lack).ceil() as u32;
-        // A layer or two that it leaves would hold up as many requests as all of them.
-        let thin = rates.iter().filter(|rate| **rate < (least + usual) / 2.0).count() as u32;
-        let len = if thin <= len + len / 2 { len.max(thin) } else { len };
+        // One or two slow layers left out would limit the rate as much as all of them.
+        let low = rates.iter().filter(|rate| **rate < (least + usual) / 2.0).count() as u32;
+        let len = if low <= len + len / 2 { len.max(low) } else { len };
         let len = len.clamp(1, most.max(1));
         let sum = |span: &Span| -> f64 {
             let layers = span.from as usize..span.to as usize;
@@ -150,18 +151,18 @@
         runs.min_by(|a, b| sum(a).total_cmp(&sum(b)))
     }
 
-    /// Mean requests in a millisecond that a server with that many layers serves at most.
+    /// Most mean requests per millisecond that a server with that many layers serves.
     fn rate(&self, server: Index, layers: u32) -> Option<f64> {
-        let slow = if self.servers[server].slow { SLOW } else { 1.0 };
+        let slow = if self.servers[server].slow { SLOW_FACTOR } else { 1.0 };
         self.shape.rate(&self.servers[server].card, layers, slow)
     }
 
-    /// The run of `len` layers whose second copy covers most of the servers that hold them.
+    /// The span of `len` layers whose second copy covers the most of the servers that hold them.
     ///
-    /// A server counts by the square of the part of its layers that another one holds too: half of two
-    /// servers helps with the loss of neither, so a copy that covers one whole server goes first, and
-    /// servers with few layers before those with many.
-    fn safest(&self, group: &[Zone], len: u32) -> Span {
+    /// A server counts by the square of the share of its layers that another one holds too: covering half of two
+    /// servers helps with the loss of neither, so a copy that covers one whole server is preferred, and
+    /// servers with few layers come before those with many.
+    fn best_cover(&self, group: &[Zone], len: u32) -> Span {
         let spans: Vec<Span> = self
             .members(group)
             .map(|i| self.servers[i].span)
@@ -178,10 +179,10 @@
             };
             spans.iter().map(part).sum()
         };
-        // Of equals the last, at the highest layers: copies then join to one run from the end of the model
-        // on. Scattered ones cover fewer servers, 8 of 16 for 10, and paths need more hops.
+        // Among equals the last, at the highest layers, so that copies form one contiguous span up to the end of the
+        // model. Scattered copies cover fewer servers, 8 of 16 instead of 10, and paths need more hops.
         let runs = (0..=self.shape.layers - len).map(|from| Span::new(from, from + len));
-        // But first the one with the fewest copies: no part is held thrice before all are held twice.
+        // Before that, the one with the fewest copies: no layers are held three times before all are held twice.
         let held =
             |span: &Span| -> usize { copies[span.from as usize..span.to as usize].iter().sum() };
         runs.max_by(|a, b| covered(*a).total_cmp(&covered(*b)).then(held(b).cmp(&held(a))))
--- a/crates/layers/src/server.rs
+++ b/crates/layers/src/server.rs
@@ -1,38 +1,38 @@
-//! What placement and path choice know of a model and its backend servers.
+//! The view of a model and its backend servers from which placement and paths are computed.
 
 use crate::pass::Pass;
 use crate::span::Span;
 
-/// Position of a server in the list that is passed in.
+/// Position of a server in the list that the caller passes.
 pub type Index = usize;
 
 /// Number of a data centre.
 pub type Zone = u16;
 
-/// Share of an accelerator's memory that is planned with. The rest covers rounding between
-/// megabytes on the list and bytes on the card: a server ordered to hold more than it can crashes.
-const USABLE: f64 = 0.995;
+/// Share of an accelerator's memory that is used. The rest covers rounding between megabytes on the list
+/// and bytes on the card: a server that is ordered to hold more than fits crashes.
+const USABLE_SHARE: f64 = 0.995;
 
 /// Sizes of a model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Shape {
-    /// Layers in all.
+    /// Number of layers.
     pub layers: u32,
     /// Bytes of one layer's weights.
     pub layer_bytes: f64,
-    /// Bytes that one token of context takes in one layer.
+    /// Bytes of context for one token in one layer.
     pub token_bytes: f64,
     /// Time of one token step through all layers on a card of pace 1, in milliseconds.
     pub step_ms: f64,
     /// Prompt tokens that a card of pace 1 reads in a millisecond through all layers.
     pub read_per_ms: f64,
-    /// Time for one token to another data centre, in milliseconds.
+    /// Time of the transfer of one token to another data centre, in milliseconds.
     pub cross_ms: f64,
-    /// Time for one prompt token's activations over the link between data centres, in milliseconds.
+    /// Time of the transfer of one prompt token's activations to another data centre, in milliseconds.
     pub cross_token_ms: f64,
-    /// Longest pause between two events with which an answer is on time, in milliseconds.
+    /// Longest pause between two events of an answer that counts as on time, in milliseconds.
     pub pause_ms: f64,
-    /// How the servers' engines work, if that is known.
+    /// Parameters of the engines' passes, if known.
     pub pass: Option<Pass>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Card {
-    /// Layers it can hold when `tokens` of context have to fit beside them.
+    /// Number of layers that the card can hold together with `tokens` of context.
     ///
     /// ```
     /// # use layers::{Card, Shape};
@@ -60,29 +60,29 @@
     /// assert_eq!(card.capacity(&shape, 150_000.0), 5);
     /// ```
     pub fn capacity(&self, shape: &Shape, tokens: f64) -> u32 {
-        (self.bytes * USABLE / (shape.layer_bytes + tokens * shape.token_bytes)) as u32
+        (self.bytes * USABLE_SHARE / (shape.layer_bytes + tokens * shape.token_bytes)) as u32
     }
 
-    /// Tokens of context that fit beside `layers` layers, counted through all of these layers.
+    /// Tokens of context that fit beside `layers` layers, each token with its context in all of these layers.
     pub fn room(&self, shape: &Shape, layers: u32) -> f64 {
         let free = self.bytes - f64::from(layers) * shape.layer_bytes;
         (free / (f64::from(layers.max(1)) * shape.token_bytes)).max(0.0)
     }
 }
 
-/// A backend server as the decisions see it.
+/// A backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Server {
     /// Its data centre.
     pub zone: Zone,
     /// Its accelerator.
     pub card: Card,
-    /// The layers it holds, or will hold once the order it was given is done.
+    /// The layers it holds, or will hold once its current order is done.
     pub span: Span,
-    /// Whether it may be used and ordered: on the list, ready and not suspected.
+    /// Whether it may be used and get orders: it is on the list, ready and not suspected.
     pub usable: bool,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Whether it works so slowly that it holds up what passes through it.
+    /// Whether it is so slow that it delays the requests that pass through it.
     pub slow: bool,
 }
--- a/crates/layers/src/slots.rs
+++ b/crates/layers/src/slots.rs
@@ -1,23 +1,23 @@
-//! Slots of the server that a request begins at.
+//! Slots of the first server of a request's path.
 //!
-//! Load pattern: the fastest copy of the model is the cheapest way for each request, so all of a data centre's
-//! requests begin at its first server. That one runs a fixed number at once, while the servers after it
-//! take any number. Once its slots are taken, each further request waits until another one has ended,
-//! some seconds, though the copy itself has time and memory left. A server that holds the same first
-//! layers, be it a slow one, takes such requests at once.
+//! Load pattern: the fastest copy of the model is the cheapest path for each request, so all requests of a data
+//! centre begin at its first server. That server runs a fixed number of requests at once, while the servers after it
+//! run any number. Once its slots are taken, each further request waits some seconds until another one has ended,
+//! although the copy has time and memory left. Another server that holds the same first layers, even a slow
+//! one, can begin such requests at once.
 
-/// Part of a server's slots up to which beginning there costs nothing.
-const FREE: f64 = 0.75;
+/// Share of a server's slots in use up to which beginning there costs nothing.
+const FREE_SHARE: f64 = 0.75;
 
-/// Part of a server's slots from which on it is sent no new requests. What it tells of them is some hundred
-/// milliseconds old, and other routers send to it meanwhile.
-const FULL: f64 = 0.95;
+/// Share of a server's slots in use from which on it gets no new requests. Its reports are some hundred
+/// milliseconds old, and other routers send to it in the meantime.
+const FULL_SHARE: f64 = 0.95;
 
-/// Cost of beginning at a server whose slots are nearly all taken, as a part of the whole time of a request.
-const CROWDED: f64 = 0.5;
+/// Cost of beginning at a server whose slots are nearly all in use, as a share of the whole time of a request.
+const MAX_COST_SHARE: f64 = 0.5;
 
-/// Cost of beginning a request at a server that told of `running` requests, in milliseconds; infinite if
-/// it takes no more. `whole` is the whole time of the request in milliseconds.
+/// Cost of beginning a request at a server that reported `running` requests, in milliseconds. Infinite if
+/// the server gets no more. `whole` is the whole time of the request in milliseconds.
 ///
 /// ```
 /// use layers::slots::begin_ms;
@@ -28,8 +28,8 @@
 pub fn begin_ms(running: u32, slots: u32, whole: f64) -> f64 {
     let taken = f64::from(running) / f64::from(slots.max(1));
     match () {
-        () if taken >= FULL => f64::INFINITY,
-        () if taken <= FREE => 0.0,
-        () => CROWDED * whole * (taken - FREE) / (FULL - FREE),
+        () if taken >= FULL_SHARE => f64::INFINITY,
+        () if taken <= FREE_SHARE => 0.0,
+        () => MAX_COST_SHARE * whole * (taken - FREE_SHARE) / (FULL_SHARE - FREE_SHARE),
     }
 }
--- a/crates/layers/src/span.rs
+++ b/crates/layers/src/span.rs
@@ -1,4 +1,4 @@
-//! A run of consecutive layers.
+//! A span of consecutive layers.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -23,27 +23,27 @@
         Span { from, to }
     }
 
-    /// Number of layers; none where the ends are swapped.
+    /// Number of layers. Zero if the ends are swapped.
     pub fn len(self) -> u32 {
         self.to.saturating_sub(self.from)
     }
 
-    /// Whether it holds no layer.
+    /// Whether the span contains no layer.
     pub fn is_empty(self) -> bool {
         self.len() == 0
     }
 
-    /// Whether `layer` is in it.
+    /// Whether the span contains `layer`.
     pub fn contains(self, layer: u32) -> bool {
         self.from <= layer && layer < self.to
     }
 
-    /// Whether all of `other` is in it.
+    /// Whether the span contains all layers of `other`.
     pub fn covers(self, other: Span) -> bool {
         self.from <= other.from && other.to <= self.to
     }
 
-    /// Runs of layers that are not held, of all layers in order.
+    /// Spans of layers that are not held. `held` has an entry for each layer in order.
     ///
     /// ```
     /// # use layers::Span;
--- a/crates/layers/tests/copies.rs
+++ b/crates/layers/tests/copies.rs
@@ -1,4 +1,4 @@
-//! Several copies of the model in one data centre, dealt by what its servers can do.
+//! Several copies of the model in one data centre, distributed by the rates of its servers.
 
 mod model;
 
@@ -6,14 +6,14 @@
 use layers::{Card, Server, Span};
 use model::{FAST, MIDDLE, PASS, SHAPE, SLOW};
 
-/// Requests of a calm day of one data centre, in a millisecond.
-const CALM: f64 = 0.08;
+/// Requests per millisecond of one data centre on a day without load peaks.
+const BASE_RATE: f64 = 0.08;
 
 fn server(card: Card) -> Server {
     Server { zone: 0, card, span: Span::default(), usable: true, busy: false, slow: false }
 }
 
-/// A data centre of unequal cards that holds what placement wants.
+/// A data centre of unequal cards that has carried out all orders of placement.
 fn settled() -> Vec<Server> {
     let mut servers = cards(&[(FAST, 2), (MIDDLE, 5), (SLOW, 13)]);
     settle(&mut servers);
@@ -33,7 +33,7 @@
     }
 }
 
-/// The fewest requests that the servers of some layer can run, in a millisecond.
+/// Requests per millisecond that the servers can run of the layer with the lowest rate.
 fn rate(servers: &[Server]) -> f64 {
     let of = |layer: u32| -> f64 {
         let held = servers.iter().filter(|s| s.usable && s.span.contains(layer));
@@ -42,7 +42,7 @@
     (0..SHAPE.layers).map(of).fold(f64::INFINITY, f64::min)
 }
 
-/// Requests whose context fits beside the layers, where least fit.
+/// Requests whose context fits beside the layer with the least free memory.
 fn room(servers: &[Server]) -> f64 {
     let of = |layer: u32| -> f64 {
         let held = servers.iter().filter(|s| s.usable && s.span.contains(layer));
@@ -52,34 +52,37 @@
     tokens / (PASS.prompt + PASS.answer / 2.0)
 }
 
-/// A data centre's requests are taken by the few fast cards that hold a whole copy, while most of its cards stand
-/// by. Callers wait for prompts to be read although the cards together could read twice as many.
+/// The few fast cards that hold a whole copy take all requests of a data centre, while most of its cards are idle.
+/// Callers wait for the prefill of prompts although the cards together could read twice as many.
 #[test]
-fn copies_carry_twice_a_calm_day() {
+fn copies_carry_twice_the_base_rate() {
     let servers = settled();
-    assert!(rate(&servers) >= 2.0 * CALM, "{}", rate(&servers));
-    // Requests live for two and a half seconds when nothing waits.
-    assert!(room(&servers) >= 2.0 * CALM * 2500.0, "{}", room(&servers));
+    assert!(rate(&servers) >= 2.0 * BASE_RATE, "{}", rate(&servers));
+    // A request takes two and a half seconds when nothing waits.
+    assert!(room(&servers) >= 2.0 * BASE_RATE * 2500.0, "{}", room(&servers));
     let heads = servers.iter().filter(|s| s.span.from == 0 && !s.span.is_empty()).count();
-    assert!(heads as f64 * PASS.slots >= 2.0 * CALM * 2500.0, "{heads} servers begin requests");
+    assert!(
+        heads as f64 * PASS.slots >= 2.0 * BASE_RATE * 2500.0,
+        "{heads} servers begin requests"
+    );
 }
 
-/// One server crashes. Until it is back, callers of the data centre are served by the other copies; none may be so
-/// narrow at any layer that a calm day's requests don't fit.
+/// One server crashes. Until it is back, the other copies serve the callers of the data centre; at every layer they
+/// must have the rate for the requests of a day without load peaks.
 #[test]
-fn any_loss_leaves_a_calm_day() {
+fn any_loss_leaves_the_base_rate() {
     let servers = settled();
     for lost in 0..servers.len() {
         let mut after = servers.clone();
         after[lost].usable = false;
-        assert!(rate(&after) >= CALM, "server {lost}: {}", rate(&after));
+        assert!(rate(&after) >= BASE_RATE, "server {lost}: {}", rate(&after));
     }
 }
 
-/// A crashed server comes back empty. If it were given other layers than those that it held, its data centre would
-/// stay as narrow as right after the crash.
+/// A crashed server restarts empty. If it got other layers than those that it held, the rate of its data centre would
+/// stay as low as right after the crash.
 #[test]
-fn an_empty_server_takes_the_thinnest_layers() {
+fn an_empty_server_takes_the_slowest_layers() {
     let servers = settled();
     let before = rate(&servers);
     for lost in 0..servers.len() {
@@ -90,8 +93,8 @@
     }
 }
 
-/// Small cards are to begin requests, and could do so for many layers if only their time counted. A server that is
-/// ordered to hold more layers than its memory takes crashes, and all that passes through it breaks off.
+/// Small cards begin requests, and by their rate alone could hold many layers for it. A server that is
+/// ordered to hold more layers than fit its memory crashes, and all requests that pass through it break off.
 #[test]
 fn no_card_gets_more_than_its_memory_holds() {
     let large = Card { bytes: 36e9, pace: 3.1, read: 3.2 };
--- a/crates/layers/tests/model/mod.rs
+++ b/crates/layers/tests/model/mod.rs
@@ -1,6 +1,6 @@
-//! A model of eighty layers and three kinds of cards, for tests and the benchmark.
+//! A model of eighty layers and three accelerator types, for tests and the benchmark.
 
-// Each of them uses a part.
+// Each test uses only some of the items.
 #![allow(dead_code)]
 
 use layers::pass::Pass;
--- a/crates/layers/tests/path.rs
+++ b/crates/layers/tests/path.rs
@@ -23,37 +23,37 @@
 
 #[rstest]
 #[case(Case {
-    what: "a whole copy near by, though the other is faster",
+    what: "a whole copy in the same data centre, though another one is faster",
     holders: vec![holder(0, 0, 0, 4, 1.0), holder(1, 0, 4, 8, 1.0), holder(2, 1, 0, 8, 0.7)],
     cross: 9.0,
     path: Some(vec![(0, 0, 4), (1, 4, 8)]),
 })]
 #[case(Case {
-    what: "the other copy where a layer is missing here",
+    what: "the other copy if a layer is missing here",
     holders: vec![holder(0, 0, 0, 4, 1.0), holder(1, 0, 5, 8, 1.0), holder(2, 1, 0, 8, 1.0)],
     cross: 9.0,
     path: Some(vec![(2, 0, 8)]),
 })]
 #[case(Case {
-    what: "both copies where each lacks a layer",
+    what: "both copies if each lacks a layer",
     holders: vec![holder(0, 0, 0, 4, 1.0), holder(1, 0, 5, 8, 1.0), holder(2, 1, 0, 2, 1.0), holder(3, 1, 3, 8, 1.0)],
     cross: 9.0,
     path: Some(vec![(0, 0, 4), (3, 4, 8)]),
 })]
 #[case(Case {
-    what: "none where the link between them carries no more",
+    what: "none if the link between them has no capacity left",
     holders: vec![holder(0, 0, 0, 4, 1.0), holder(2, 1, 4, 8, 1.0)],
     cross: f64::INFINITY,
     path: None,
 })]
 #[case(Case {
-    what: "none where a layer is held nowhere",
+    what: "none if a layer is held nowhere",
     holders: vec![holder(0, 0, 0, 4, 1.0), holder(1, 0, 5, 8, 1.0)],
     cross: 1.0,
     path: None,
 })]
 #[case(Case {
-    what: "around a slow server that another one can stand in for",
+    what: "around a slow server that others can replace",
     holders: vec![holder(0, 0, 0, 8, 12.0), holder(1, 0, 0, 5, 1.0), holder(2, 0, 3, 8, 1.0)],
     cross: 1.0,
     path: Some(vec![(1, 0, 3), (2, 3, 8)]),
@@ -64,19 +64,19 @@
         parts.iter().map(|p| (p.server, p.span.from, p.span.to)).collect::<Vec<_>>()
     });
     let same = match (&found, &case.path) {
-        // Boundaries inside an overlap may lie anywhere in it.
+        // A boundary inside an overlap may lie anywhere in it.
         (Some(found), Some(path)) => found.iter().map(|p| p.0).eq(path.iter().map(|p| p.0)),
         (found, path) => found == path,
     };
     assert!(same, "{}: {found:?}", case.what);
 }
 
-/// A running stream loses a server and can go on only in another data centre. Each token it has read so far
-/// would have to cross the link there, with those of all other streams that lost the same server:
-/// its caller waits a second for nothing. A link that carries no more must not be used behind a server,
-/// and one that does must be paid for, unlike the start of a request in another data centre.
+/// A running stream loses a server and can continue only in another data centre. Each token read so far
+/// would have to cross the link, with those of all other streams that lost the same server:
+/// its caller waits a second in vain. A link without capacity left must not be used after another server, and the
+/// cost of any other link counts, unlike at the start of a request in another data centre.
 #[test]
-fn going_on_behind_a_server_crosses_the_link() {
+fn continuing_after_a_server_crosses_the_link() {
     let holders = [holder(0, 1, 0, 8, 1.0)];
     let full = |_, _| f64::INFINITY;
     let start = Query { from: 3, ..ask(&full) };
@@ -84,12 +84,12 @@
     let slow = |from, to| if (from, to) == (0, 1) { 50.0 } else { f64::INFINITY };
     let start = Query { from: 3, ..ask(&slow) };
     assert!(find(&holders, &start).unwrap().1 > 50.0);
-    // A new request takes only its prompt's text there.
+    // A new request sends only the text of its prompt there.
     assert!(find(&holders, &ask(&full)).is_some());
 }
 
 /// A path that skips a layer, runs one twice or names a server twice would give a wrong answer or be
-/// refused. Random holders, the truth checked from the outside.
+/// refused. Checks the paths of random holders against these rules.
 #[test]
 fn every_layer_once_and_in_order() {
     for seed in 0..2000 {
@@ -127,8 +127,8 @@
 }
 
 /// A data centre's first server has no slot left, and a slow one holds its first layers too. Requests that are
-/// sent to the first all the same wait for seconds until others end; they must begin at the slow one
-/// and go on along the fast copy.
+/// still sent to the first server wait for seconds until others end. They must begin at the slow one
+/// and continue in the fast copy.
 #[test]
 fn begins_elsewhere_when_the_first_server_has_no_slot() {
     let whole = 1000.0;
--- a/crates/layers/tests/placement.rs
+++ b/crates/layers/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which server holds which layers, as servers come, die and leave.
+//! Placement of layers as servers join, crash and leave.
 
 use layers::placement::{MIN_CONTEXT_TOKENS, Place, missing, plan};
 use layers::{Card, Server, Shape, Span};
@@ -33,7 +33,7 @@
     all.flat_map(|(zone, card, n)| (0..*n).map(|_| server(*zone, *card))).collect()
 }
 
-/// Carries orders out until there are none; all that were given.
+/// Carries out orders until there are none. Returns all of them.
 fn settle(servers: &mut [Server], lasting: bool) -> Vec<Place> {
     let mut all = Vec::new();
     for _ in 0..50 {
@@ -48,7 +48,8 @@
     panic!("orders never end");
 }
 
-/// A server ordered to hold more than its memory crashes; one that is gone or busy must get none.
+/// Checks orders: a server that is ordered to hold more than its memory crashes, and one that is gone or busy must get
+/// none.
 fn check(servers: &[Server], orders: &[Place]) {
     for order in orders {
         let server = &servers[order.server];
@@ -63,7 +64,7 @@
     assert_eq!(ordered.len(), orders.len(), "two orders for one server");
 }
 
-fn lacks(servers: &[Server]) -> u32 {
+fn missing_layers(servers: &[Server]) -> u32 {
     (0..3).flat_map(|zone| missing(servers, &SHAPE, zone)).map(Span::len).sum()
 }
 
@@ -71,8 +72,8 @@
 fn first_copies() {
     let mut servers = fleet();
     settle(&mut servers, false);
-    assert_eq!(lacks(&servers), 0);
-    // Whoever takes over computes no further orders.
+    assert_eq!(missing_layers(&servers), 0);
+    // A router that takes over computes no further orders.
     assert_eq!(plan(&servers, &SHAPE, false), []);
 }
 
@@ -90,10 +91,10 @@
     assert_eq!(plan(&servers, &SHAPE, false), []);
 }
 
-/// One server dies. Its layers are missing in its data centre, and callers there wait for links to
-/// other ones until a neighbour or the reserve has loaded them. Where nothing beside the gap has the
+/// One server crashes. Its layers are missing in its data centre, and callers there wait for links to
+/// other ones until an adjacent server or the reserve has loaded them. Where no server beside the gap has the
 /// memory, the other data centres carry the load until the server is back, and only a lasting gap
-/// is closed at the price of many loads.
+/// is closed at the cost of many loads.
 #[test]
 fn any_single_loss_is_repaired() {
     let mut servers = fleet();
@@ -112,15 +113,15 @@
             loaded <= 2 * servers[lost].span.len() + 8,
             "server {lost}: {loaded} layers loaded"
         );
-        // The data centre that has no reserve.
-        assert!(lacks(&after) == 0 || servers[lost].zone == 2, "server {lost}");
+        // Data centre 2 has no reserve.
+        assert!(missing_layers(&after) == 0 || servers[lost].zone == 2, "server {lost}");
         settle(&mut after, true);
-        assert_eq!(lacks(&after), 0, "server {lost}");
+        assert_eq!(missing_layers(&after), 0, "server {lost}");
     }
 }
 
-/// Servers die, come back empty, leave and are added in any order, and orders take their time. After
-/// all of it each data centre that has the memory must hold the whole model.
+/// Servers crash, restart empty, leave and are added in any order, and orders take time to complete. In
+/// the end, each data centre that has the memory must hold the whole model.
 #[test]
 fn any_series_of_losses_is_repaired() {
     for seed in 0..300 {
@@ -152,10 +153,10 @@
     }
 }
 
-/// While an order is under way its server counts as holding what it was told to hold: a second
-/// router that takes over must not order the same layers from yet another server.
+/// While an order is in progress, its server counts as holding what it was ordered to hold: a
+/// router that takes over must not order another server to hold the same layers.
 #[test]
-fn orders_under_way_are_not_given_twice() {
+fn orders_in_progress_are_not_given_twice() {
     let mut servers = fleet();
     let orders = plan(&servers, &SHAPE, false);
     for order in &orders {
@@ -165,8 +166,8 @@
     assert_eq!(plan(&servers, &SHAPE, false), []);
 }
 
-/// Servers that the first copy does not need hold second copies. If each of them covers a half of two
-/// others, any loss leaves a gap all the same: all streams of the data centre break off until it
+/// Servers that the first copy does not need hold second copies. If each of them covers half of two
+/// others, any loss still leaves a gap: all streams of the data centre break off until it
 /// is loaded. The reserve must cover whole servers, and those with few layers first.
 #[test]
 fn the_reserve_covers_whole_servers() {
@@ -186,10 +187,10 @@
 }
 
 /// A server works twelve times slower, as hot or throttled cards do. All requests of its data centre pass through
-/// it, and it reads fewer prompts than come: each waits longer than the one before. A server that
-/// holds nothing needed must take its layers too, and it must keep them until then.
+/// it, and it reads fewer prompts than arrive: each waits longer than the one before. A redundant
+/// server must take its layers too, and the slow one must keep them until then.
 #[test]
-fn a_slow_server_is_stood_in_for() {
+fn layers_of_a_slow_server_are_backed_up() {
     for slow in 0..10 {
         let mut servers: Vec<Server> = Vec::new();
         servers.push(server(0, LARGE));
@@ -206,8 +207,8 @@
     }
 }
 
-/// One data centre has lost more than its memory can make up for. If the others get no reserves until it is whole, the
-/// next crash breaks them too.
+/// One data centre has lost more layers than its remaining memory can hold. If the others get no reserves until it is
+/// whole, the next crash breaks their copies too.
 #[test]
 fn a_gap_that_can_not_be_closed_leaves_others_their_reserves() {
     let mut servers = fleet();
@@ -217,7 +218,7 @@
     third.iter().skip(1).for_each(|i| servers[*i].usable = false);
     settle(&mut servers, true);
     assert!(!missing(&servers, &SHAPE, 2).is_empty());
-    // A new server comes to each of the whole ones.
+    // Each of the whole data centres gets a new server.
     let fresh = [server(0, MIDDLE), server(1, MIDDLE)];
     let at = servers.len();
     servers.extend(fresh);
--- a/crates/layers/tests/plans.rs
+++ b/crates/layers/tests/plans.rs
@@ -1,4 +1,4 @@
-//! Plans of a small fleet, explored over all interleavings of losses, returns and orders that end.
+//! Placement of a small fleet, checked over all interleavings of losses, restarts and completed orders.
 
 use std::collections::{HashSet, VecDeque};
 
@@ -26,13 +26,13 @@
     Card { bytes: 2.3e9, pace: 2.0, read: 2.0 },
 ];
 
-/// Servers that are lost in one series.
-const LOSSES: u8 = 2;
+/// Most servers that are lost in one sequence.
+const MAX_LOSSES: u8 = 2;
 
-/// Rounds of planning and loading after which orders must have come to an end.
-const ROUNDS: usize = 20;
+/// Rounds of planning and loading after which there must be no more orders.
+const MAX_ROUNDS: usize = 20;
 
-/// One server: what it holds, or will hold once its order is done.
+/// One server, with the layers that it holds or will hold once its order is done.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 struct Slot {
     span: Span,
@@ -63,7 +63,7 @@
         self.slots.iter().any(|slot| !slot.gone && slot.span.contains(layer))
     }
 
-    /// The fleet once a plan is ordered; none if there is nothing to order.
+    /// The fleet after the orders of a plan are given. None if there are no orders.
     fn planned(&self, lasting: bool) -> Option<Fleet> {
         let orders = plan(&self.servers(), &SHAPE, lasting);
         let mut next = self.clone();
@@ -79,7 +79,7 @@
         (!orders.is_empty()).then_some(next)
     }
 
-    /// All fleets that one step leads to.
+    /// All fleets that one step can lead to.
     fn after(&self) -> Vec<Fleet> {
         let mut all: Vec<Fleet> =
             [false, true].into_iter().filter_map(|lasting| self.planned(lasting)).collect();
@@ -87,7 +87,7 @@
             let mut next = self.clone();
             match () {
                 () if slot.gone => next.slots[i] = Slot::default(),
-                () if self.losses < LOSSES => {
+                () if self.losses < MAX_LOSSES => {
                     next.slots[i] = Slot { gone: true, ..Slot::default() };
                     next.losses += 1;
                 }
@@ -103,10 +103,10 @@
         all
     }
 
-    /// Plans and loads until nothing is left to order.
+    /// Plans and loads until there are no more orders. None if they don't end.
     fn settled(&self) -> Option<Fleet> {
         let mut fleet = self.clone();
-        for _ in 0..ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             fleet.slots.iter_mut().for_each(|slot| slot.busy = false);
             match fleet.planned(true) {
                 Some(next) => fleet = next,
@@ -117,9 +117,9 @@
     }
 }
 
-/// Servers are lost, come back empty and end their orders at any moment between two plans. A plan must never order
-/// a server that is gone or busy, nor more than it holds, nor give a layer up that is held: requests
-/// through it would fail until it is loaded again. And orders must end, or servers load for ever.
+/// Servers are lost, restart empty and complete their orders at any time between two plans. A plan must never order
+/// a server that is gone or busy, order more layers than fit a server's memory, or give up the last copy of a layer:
+/// requests through it would fail until it is loaded again. Orders must also end, or servers would load forever.
 #[test]
 fn plans_under_all_interleavings() {
     let start = Fleet { slots: [Slot::default(); CARDS.len()], losses: 0 };
