--- a/crates/gateway/src/repeats/datagram.rs
+++ b/crates/gateway/src/retries/datagram.rs
@@ -1,4 +1,4 @@
-//! Questions for repeats and their answers, a datagram each.
+//! Requests for loans of retries and the replies to them, one datagram each.
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::io;
@@ -20,55 +20,55 @@
 /// Version of the datagrams.
 const VERSION: u16 = 1;
 
-/// Longest datagram, in bytes: a service's name, and the addresses of twenty routers.
-const LONGEST: usize = 1200;
+/// Longest datagram: the name of a service and the addresses of twenty routers.
+const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// What routers send each other.
+/// A datagram between routers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 enum Datagram {
-    Ask(Question),
-    Loan(Answer),
+    Ask(LoanRequest),
+    Loan(LoanReply),
 }
 
-/// A question for repeats.
+/// A request for retries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct Question {
+pub(super) struct LoanRequest {
     version: u16,
-    /// Number of the question, which its answer names.
+    /// Number of the request, which the reply repeats.
     id: u64,
     pub(super) service: String,
     pub(super) want: u32,
-    /// Whether they are for answers that have begun.
+    /// Whether the retries are for answers that have begun.
     begun: bool,
-    /// Routers to ask for what is short.
+    /// Routers to ask for the rest if the lender can't lend all.
     pub(super) others: Vec<SocketAddr>,
 }
 
-impl Question {
+impl LoanRequest {
     pub(super) fn need(&self) -> Need {
         if self.begun { Need::Begun } else { Need::New }
     }
 }
 
-/// What is lent.
+/// A reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Answer {
+struct LoanReply {
     version: u16,
     id: u64,
     lent: u32,
-    /// Time in milliseconds after which it is worth asking again.
+    /// Time in milliseconds after which a new request may be granted.
     again_ms: u64,
 }
 
-/// The socket, and the questions that are open.
+/// The socket, and the requests without a reply.
 #[derive(Debug, Default)]
-pub(super) struct Post {
+pub(super) struct Endpoint {
     socket: OnceCell<Rc<UdpSocket>>,
     next: Cell<u64>,
     open: RefCell<Vec<(u64, SocketAddr, oneshot::Sender<Loan>)>>,
 }
 
-/// Answers other routers and takes their answers, as long as the process runs.
+/// Handles requests and replies of other routers for as long as the process runs.
 pub async fn run(state: Rc<State>, address: SocketAddr) {
     let socket = match UdpSocket::bind(address).await {
         Ok(socket) => Rc::new(socket),
@@ -78,43 +78,43 @@
             );
         }
     };
-    state.repeats.post.socket.get_or_init(|| socket.clone());
-    let mut buffer = [0; LONGEST];
+    state.repeats.endpoint.socket.get_or_init(|| socket.clone());
+    let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
-            // A datagram of before met a port that is closed.
+            // An earlier datagram reached a closed port.
             Err(e) => {
-                log::debug!("gateway: receiving a datagram failed: {e}");
+                log::debug!("gateway: a datagram could not be received: {e}");
                 continue;
             }
         };
-        // Others than members have no part in the budget.
+        // Only members of the group have a share of the budget.
         if state.sharing.others(state.now()).binary_search(&from).is_err() {
-            log::debug!("gateway: a datagram of {from}, which is no member, is left out");
+            log::debug!("gateway: datagram from {from} ignored: not a member of the group");
             continue;
         }
-        state.repeats.trust(from);
+        state.repeats.mark_alive(from);
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Ask(question)) if question.version == VERSION => {
-                receive_question(&state, question, from).await;
+                receive_request(&state, question, from).await;
             }
             Ok(Datagram::Loan(answer)) if answer.version == VERSION => {
-                receive_answer(&state, &answer, from);
+                receive_reply(&state, &answer, from);
             }
-            other => log::debug!("gateway: a datagram of {from} is left out: {other:?}"),
+            other => log::debug!("gateway: datagram from {from} ignored: {other:?}"),
         }
     }
 }
 
-async fn receive_question(state: &Rc<State>, question: Question, from: SocketAddr) {
+async fn receive_request(state: &Rc<State>, question: LoanRequest, from: SocketAddr) {
     let loan = lender::lend(state, &question.service, question.need(), question.want);
     if loan.lent == question.want || question.others.is_empty() {
         return answer(state, question.id, loan, from).await;
     }
     let state = state.clone();
     spawn_local(async move {
-        let more = lender::ask_for(&state, &question, question.want - loan.lent).await;
+        let more = lender::ask_others_for(&state, &question, question.want - loan.lent).await;
         let loan = Loan {
             lent: loan.lent + more.lent,
             retry_after: loan.retry_after.min(more.retry_after),
@@ -125,32 +125,32 @@
 
 async fn answer(state: &State, id: u64, loan: Loan, to: SocketAddr) {
     let again_ms = loan.retry_after.as_millis() as u64;
-    let answer = Answer { version: VERSION, id, lent: loan.lent, again_ms };
+    let answer = LoanReply { version: VERSION, id, lent: loan.lent, again_ms };
     if let Err(e) = send(state, &Datagram::Loan(answer), to).await {
-        log::debug!("gateway: a loan was not sent to {to}: {e}");
+        log::debug!("gateway: loan could not be sent to {to}: {e}");
     }
 }
 
-fn receive_answer(state: &State, answer: &Answer, from: SocketAddr) {
-    let mut open = state.repeats.post.open.borrow_mut();
+fn receive_reply(state: &State, answer: &LoanReply, from: SocketAddr) {
+    let mut open = state.repeats.endpoint.open.borrow_mut();
     let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
         let loan = Loan { lent: answer.lent, retry_after: Duration::from_millis(answer.again_ms) };
-        // Nobody waits where the question's time is up.
+        // Fails if the request has timed out in the meantime.
         let _ = waits.send(loan);
     }
 }
 
 async fn send(state: &State, datagram: &Datagram, to: SocketAddr) -> io::Result<()> {
     let bytes = postcard::to_allocvec(datagram).expect("plain fields");
-    match state.repeats.post.socket.get() {
+    match state.repeats.endpoint.socket.get() {
         Some(socket) => socket.send_to(&bytes, to).await.map(drop),
         None => Err(io::ErrorKind::NotConnected.into()),
     }
 }
 
-/// Asks a router; what it lends, if it says so within `limit`.
+/// Requests a loan from a router. None if there is no reply within `limit`.
 pub(super) async fn ask(
     state: &State,
     service: &str,
@@ -158,12 +158,13 @@
     ask: &Request<SocketAddr>,
     limit: Duration,
 ) -> Option<Loan> {
-    let (post, to) = (&state.repeats.post, ask.lenders[0]);
-    // A late answer to the process before this one is none to a question of this one.
-    let id = state.sharing.incarnation().wrapping_add(post.next.replace(post.next.get() + 1));
+    let (endpoint, to) = (&state.repeats.endpoint, ask.lenders[0]);
+    // Ids begin at the incarnation, so that a late reply to the previous process matches no request of this one.
+    let id =
+        state.sharing.incarnation().wrapping_add(endpoint.next.replace(endpoint.next.get() + 1));
     let (sender, answered) = oneshot::channel();
-    post.open.borrow_mut().push((id, to, sender));
-    let question = Question {
+    endpoint.open.borrow_mut().push((id, to, sender));
+    let question = LoanRequest {
         version: VERSION,
         id,
         service: service.to_owned(),
@@ -174,10 +175,10 @@
     let loan = match send(state, &Datagram::Ask(question), to).await {
         Ok(()) => timeout(limit, answered).await.ok().and_then(Result::ok),
         Err(e) => {
-            log::debug!("gateway: a question for repeats was not sent to {to}: {e}");
+            log::debug!("gateway: request for retries could not be sent to {to}: {e}");
             None
         }
     };
-    post.open.borrow_mut().retain(|(open, ..)| *open != id);
+    endpoint.open.borrow_mut().retain(|(open, ..)| *open != id);
     loan.map(|loan| Loan { lent: loan.lent.min(ask.want), ..loan })
 }
--- a/crates/gateway/src/repeats/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -1,13 +1,14 @@
-//! What a router's process tells the next one of its repeats.
+//! Handover of the use of retries from one process of a router to the next.
 //!
-//! Load pattern: the routers are restarted one after the other, while servers die. What the process before used counts in
-//! the same window, so each new one may use next to nothing of its part for the length of it, and nothing can be borrowed
-//! from it either.
+//! Load pattern: the routers are restarted one after the other, while servers die. The retries of the previous process
+//! count in the same window, so each new process may use next to nothing of its share for the length of the window, and
+//! others can borrow nothing from it either.
 //!
-//! A process that is told to stop knows what it used. It writes that down as its last act, and the next one goes on with
-//! the rest. Each process first writes down that it has started, and an end counts only if it is the last record before
-//! that: the end of a process before the last one, or one that arrives late, says nothing of what was used since. A start
-//! that the store does not take is tried again; an end counts for a few seconds, in which that can't go wrong for long.
+//! A process that is asked to stop writes a record of the retries that it used as its last action, and its successor
+//! continues with the rest. Each process first appends a record of its start. An end record is valid only if it is the
+//! last one before that start: the end of an earlier process, or one that arrives late, lacks what was used since. If
+//! the start record can't be appended, this is retried. An end record is valid for a few seconds only, which bounds the
+//! effect of such a failure.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -22,49 +23,49 @@
 use crate::state::State;
 use crate::store::{Call, Era, Fault, Offset, Reply};
 
-/// Longest wait of a process that starts before it writes that down, so that hundreds do not do so at once.
-const SPREAD: Duration = Duration::from_millis(200);
+/// Longest random delay before the record of a start, so that hundreds of processes don't write at once.
+const MAX_START_DELAY: Duration = Duration::from_millis(200);
 
-/// Time that a process which ends gets to hand over.
-const LAST: Duration = Duration::from_millis(150);
+/// Time limit for the handover of a process that ends.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Pause after the store did not take the record of a start.
-const AGAIN: Duration = Duration::from_secs(1);
+/// Pause before the record of a start that could not be appended is retried.
+const START_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Time after its end for which what a process handed over counts.
-const LATEST: Duration = Duration::from_secs(5);
+/// Age up to which an end record is valid.
+const MAX_HANDOVER_AGE: Duration = Duration::from_secs(5);
 
-/// Records before its own that a process looks at. Older ones may have been deleted, and a read that begins with one of
-/// those gives nothing; an answer may also hold fewer than there are.
-const BACK: [Offset; 3] = [256, 16, 1];
+/// Numbers of records before its own that a process tries to read. Older records may have been deleted, and a read that
+/// begins at a deleted one returns nothing; a reply may also hold fewer records than there are.
+const READ_BACK: [Offset; 3] = [256, 16, 1];
 
-/// Most by which the clocks of one VM may differ in the time between two processes.
-const AGREE: Duration = Duration::from_millis(100);
+/// Largest difference between two clocks of one VM in their measure of the time between two processes.
+const MAX_CLOCK_SKEW: Duration = Duration::from_millis(100);
 
-/// A record.
+/// A record in the router's own log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Record {
     /// A process has started.
     Start {
-        /// Its VM.
+        /// VM of the process.
         vm: String,
-        /// Its number.
+        /// Incarnation of the process.
         process: u64,
     },
     /// A process has ended.
     End {
-        /// Its VM.
+        /// VM of the process.
         vm: String,
-        /// Its number.
+        /// Incarnation of the process.
         process: u64,
-        /// Era of the store in which it ended.
+        /// Era of the store at the end of the process.
         era: Era,
-        /// The wall clock then, in milliseconds of Unix time.
+        /// Wall clock at the end, in milliseconds of Unix time.
         clock_ms: u64,
-        /// The clock of the VM that counts suspended time, in milliseconds.
+        /// Clock of the VM that counts suspended time, in milliseconds.
         boot_ms: u64,
-        /// What counts of each service's repeats.
+        /// Use of retries by service.
         services: Vec<(String, Handover)>,
     },
 }
@@ -74,32 +75,32 @@
         Bytes::from(serde_json::to_vec(self).expect("plain fields"))
     }
 
-    /// Reads a record of a VM; none if it is another VM's, or of another version.
+    /// Decodes a record. None if it belongs to another VM than `of` or has another format.
     fn decode(record: &[u8], of: &str) -> Option<Record> {
         let record: Record = serde_json::from_slice(record).ok()?;
         let (Record::Start { vm, .. } | Record::End { vm, .. }) = &record;
         (vm == of).then_some(record)
     }
 
-    /// Number of the process that wrote it.
+    /// Incarnation of the process that wrote the record.
     fn process(&self) -> u64 {
         let (Record::Start { process, .. } | Record::End { process, .. }) = self;
         *process
     }
 }
 
-/// What is known of the processes before and after this one.
+/// State of the handover from the previous process and to the next one.
 #[derive(Debug, Default)]
-pub(super) struct Succession {
-    /// Offset after the record of this process's start, and the era that it belongs to.
+pub(super) struct Status {
+    /// Offset after the start record of this process, and the era of that offset.
     started: Cell<Option<(Offset, Era)>>,
-    /// Whether what the process before used is counted.
+    /// Whether the retries that the previous process used have been counted.
     taken: Cell<bool>,
-    /// Whether this process uses and lends nothing more of its own parts.
+    /// Whether this process has stopped using and lending its own shares.
     ended: Cell<bool>,
 }
 
-impl Succession {
+impl Status {
     pub(super) fn has_taken_over(&self) -> bool {
         self.taken.get()
     }
@@ -109,34 +110,34 @@
     }
 }
 
-/// Counts what the process before this one used, if it said so.
+/// Counts the retries that the previous process used, if it handed them over.
 pub async fn take_over(state: Rc<State>) {
     if state.setup.first_start {
         return;
     }
-    sleep(SPREAD.mul_f64(rand::random())).await;
+    sleep(MAX_START_DELAY.mul_f64(rand::random())).await;
     let before = loop {
-        match open(&state).await {
+        match record_start(&state).await {
             Ok(before) => break before,
             Err(why) => log::info!("gateway: repeats not taken_over why={why}"),
         }
-        sleep(AGAIN).await;
+        sleep(START_RETRY_DELAY).await;
         while state.store_away() {
-            sleep(AGAIN).await;
+            sleep(START_RETRY_DELAY).await;
         }
     };
     let own = state.sharing.incarnation();
     match before.into_iter().rfind(|record| record.process() != own) {
         Some(Record::End { era, clock_ms, boot_ms, services, .. }) => {
-            // A copy that the store came back from may lack records of processes in between.
-            let gap = gap(&state, clock_ms, boot_ms).filter(|gap| *gap < LATEST);
+            // In another era, the store may have been restored from a copy that lacks records of later processes.
+            let gap = gap(&state, clock_ms, boot_ms).filter(|gap| *gap < MAX_HANDOVER_AGE);
             let Some(gap) = gap.filter(|_| era == state.store.era()) else {
                 return log::info!("gateway: repeats not taken_over why=unknown age era={era}");
             };
             for (service, handover) in &services {
                 state.budget(service, |budget| budget.take_over(handover, gap));
             }
-            state.repeats.succession.taken.set(true);
+            state.repeats.handover.taken.set(true);
             let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
             log::info!("gateway: repeats taken_over used={used} gap={gap:?}");
         }
@@ -147,13 +148,13 @@
     }
 }
 
-/// Writes down that this process has started; records of this VM before that, the oldest first.
-async fn open(state: &State) -> Result<Vec<Record>, Fault> {
+/// Appends the start record of this process. Returns earlier records of this VM, the oldest first.
+async fn record_start(state: &State) -> Result<Vec<Record>, Fault> {
     let (vm, process) = (state.setup.vm.clone(), state.sharing.incarnation());
     let end = append(state, &Record::Start { vm: vm.clone(), process }, None).await?;
-    state.repeats.succession.started.set(Some((end, state.store.era())));
+    state.repeats.handover.started.set(Some((end, state.store.era())));
     let own = end.saturating_sub(1);
-    for from in BACK.map(|back| own.saturating_sub(back)) {
+    for from in READ_BACK.map(|back| own.saturating_sub(back)) {
         let count = (own - from) as usize;
         match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await {
             Ok(Reply::Records(records, _)) if records.len() >= count => {
@@ -176,36 +177,40 @@
     }
 }
 
-/// Time from the end of the process before to the start of this one; none if the clocks differ on it, as one may have
-/// jumped, or the VM was started anew.
+/// Time from the end of the previous process to the start of this one. None if the two clocks disagree, because one of
+/// them has jumped or the VM has been restarted.
 fn gap(state: &State, clock_ms: u64, boot_ms: u64) -> Option<Duration> {
     let now = state.now();
     let since = |clock: Duration, then: u64| {
         clock.checked_sub(now)?.checked_sub(Duration::from_millis(then))
     };
     let (wall, boot) = (since(clock::wall(), clock_ms)?, since(clock::boot(), boot_ms)?);
-    (wall.abs_diff(boot) <= AGREE).then_some(wall.min(boot))
+    (wall.abs_diff(boot) <= MAX_CLOCK_SKEW).then_some(wall.min(boot))
 }
 
-/// Ends the use of repeats, and hands over to the next process.
+/// Ends the use of retries, and hands over to the next process.
 pub async fn hand_over(state: &State) {
-    state.repeats.succession.ended.set(true);
+    state.repeats.handover.ended.set(true);
     let Some(services) = state.close_budgets() else {
-        return log::info!("gateway: repeats not handed_over why=this process is young");
+        return log::info!(
+            "gateway: repeats not handed_over why=this process has started only recently"
+        );
     };
     let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
-    match timeout(LAST, write_end(state, services)).await {
+    match timeout(HANDOVER_TIMEOUT, write_end(state, services)).await {
         Ok(Ok(())) => log::info!("gateway: repeats handed_over used={used}"),
         Ok(Err(why)) => log::info!("gateway: repeats not handed_over why={why}"),
-        Err(_) => log::info!("gateway: repeats not handed_over why=no answer within {LAST:?}"),
+        Err(_) => {
+            log::info!("gateway: repeats not handed_over why=no answer within {HANDOVER_TIMEOUT:?}")
+        }
     }
 }
 
 async fn write_end(state: &State, services: Vec<(String, Handover)>) -> Result<(), Fault> {
-    let started = state.repeats.succession.started.get();
+    let started = state.repeats.handover.started.get();
     let mut at = match started.filter(|(_, era)| *era == state.store.era()) {
         Some((at, _)) => at,
-        None => reopen(state).await?,
+        None => rerecord_start(state).await?,
     };
     let record = Record::End {
         vm: state.setup.vm.clone(),
@@ -222,25 +227,25 @@
             Err(fault) => return Err(fault),
         }
         at = match after_others(state, at).await {
-            Err(Fault::Gone) => reopen(state).await?,
+            Err(Fault::Gone) => rerecord_start(state).await?,
             end => end?,
         };
     }
 }
 
-/// Writes the start down again, as the record of it was deleted or never written; the offset after it.
-async fn reopen(state: &State) -> Result<Offset, Fault> {
-    let (before, own) = (open(state).await?, state.sharing.incarnation());
-    let started = state.repeats.succession.started.get();
+/// Appends the start record again, because it has been deleted or was never written. Returns the offset after it.
+async fn rerecord_start(state: &State) -> Result<Offset, Fault> {
+    let (before, own) = (record_start(state).await?, state.sharing.incarnation());
+    let started = state.repeats.handover.started.get();
     match (before.last(), started) {
-        // Another process has started since; it does not know that this one still runs.
+        // Another process has started since, which does not know that this one still runs.
         (Some(last), _) if last.process() != own => Err(Fault::Moved { end: None }),
         (_, Some((end, _))) => Ok(end),
         (_, None) => Err(Fault::Moved { end: None }),
     }
 }
 
-/// Where the log ends that held nothing of this VM from an offset on.
+/// End of the log, if it holds no record of this VM from an offset on.
 async fn after_others(state: &State, from: Offset) -> Result<Offset, Fault> {
     let vm = state.setup.vm.clone();
     match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await? {
--- a/crates/layers/benches/decisions.rs
+++ b/crates/layers/benches/decisions.rs
@@ -1,5 +1,5 @@
-//! Time of the decisions about a model's layers, at sixty servers in three data centres: a path for a request,
-//! and the orders of a data centre whose servers are all empty.
+//! Measures the decisions about a model's layers for sixty servers in three data centres: a path for a request,
+//! and placement while all servers are empty and while all layers are held.
 
 #[path = "../tests/model/mod.rs"]
 mod model;
@@ -7,13 +7,13 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use layers::path::{Ask, Holder, find};
+use layers::path::{Holder, Query, find};
 use layers::placement::plan;
 use layers::{Card, Server, Span};
 use model::{FAST, MIDDLE, SHAPE, SLOW};
 
-/// Time for which each decision is repeated.
-const REPEATED: Duration = Duration::from_millis(500);
+/// Time for which each decision is measured.
+const MEASURE_TIME: Duration = Duration::from_millis(500);
 
 fn main() {
     let empty = servers();
@@ -22,7 +22,7 @@
         held[order.server].span = order.span;
     }
     let holders: Vec<Holder> = held.iter().enumerate().map(holder).collect();
-    let ask = Ask { from: 0, layers: 80, zone: 0, away_ms: 300.0, cross_ms: &|_, _| 500.0 };
+    let ask = Query { from: 0, layers: 80, zone: 0, away_ms: 300.0, cross_ms: &|_, _| 500.0 };
     measure("path", || drop(black_box(find(black_box(&holders), &ask))));
     measure("first orders", || drop(black_box(plan(black_box(&empty), &SHAPE, false))));
     measure("no orders", || drop(black_box(plan(black_box(&held), &SHAPE, false))));
@@ -48,7 +48,7 @@
 
 fn measure(name: &str, decide: impl Fn()) {
     let (began, mut count) = (Instant::now(), 0_u32);
-    while began.elapsed() < REPEATED {
+    while began.elapsed() < MEASURE_TIME {
         decide();
         count += 1;
     }
