--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -120,7 +120,9 @@
     spawn_local(async move {
         let ended = probe::refuses(&peer).await;
         state.metrics.run_broken(ended);
-        if let Line::Written(left_out) = state.losses.borrow_mut().take(state.now(), LOSSES) {
+        if let Line::Written(left_out) =
+            state.broken_run_lines.borrow_mut().take(state.now(), LOSSES)
+        {
             log::info!(
                 "gateway: request={id} run=broken server={} server_ended={ended} events={events} content={} \
                  description={} bytes={bytes} workspace={} lines_left_out={left_out}",
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -233,7 +233,7 @@
             response
         }
         Err(reason) => {
-            let line = state.refusals.borrow_mut().take(state.now(), logging::REFUSALS);
+            let line = state.refusal_lines.borrow_mut().take(state.now(), logging::REFUSALS);
             if let Line::Written(left_out) = line {
                 log::info!(
                     "gateway: request={id} outcome=refused why={reason} left_out={left_out}"
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -92,7 +92,7 @@
     until: Instant,
 ) -> Outcome {
     // What may run once only is not risked on a connection that its server may just be closing.
-    let link = match call.route.class.repeatable() {
+    let link = match call.route.class.is_retryable() {
         true => peer.pool.take().await,
         false => peer.pool.connect().await,
     };
@@ -107,7 +107,7 @@
     let used = link.used;
     let outcome = exchange(state, peer, call, &extra, link, until).await;
     // A used connection that ends before any byte of the answer was most likely idle too long.
-    let idle = used && call.route.class.repeatable() && matches!(outcome, Outcome::Unknown(_));
+    let idle = used && call.route.class.is_retryable() && matches!(outcome, Outcome::Unknown(_));
     if !idle || Instant::now() >= until || !may_send_anew(state, peer, need).await {
         return outcome;
     }
@@ -139,7 +139,7 @@
         server.sequence,
         entry.offset,
         now.saturating_sub(entry.heard),
-        shared_read::known(state, Log::Servers)
+        shared_read::read_position(state, Log::Servers)
     );
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -1,7 +1,7 @@
 //! Keeps settings, servers and notices up to date from the store.
 
 mod entries;
-mod news;
+mod notices;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::state::State;
 use crate::store::{Call, End, Fault, Item, Log, Offset, Reply};
 
-pub use news::{announce, notices};
+pub use notices::{announce, notices};
 
 /// Time the store may wait for new settings. An answer is overdue soon after, and a connection that
 /// went silent is given up before settings are in force too late.
@@ -48,7 +48,7 @@
 
 /// Reads the records of one kind that the platform keeps.
 #[derive(Debug, Clone, Copy)]
-pub struct Reader {
+pub struct Decoder {
     /// Key of the record that holds the settings.
     pub settings_key: &'static str,
     /// Reads settings.
@@ -60,10 +60,10 @@
 }
 
 /// Keeps the settings up to date.
-pub async fn settings(state: Rc<State>, reader: Reader) {
+pub async fn settings(state: Rc<State>, decoder: Decoder) {
     let take = |item: &Item| {
-        let value = item.value.as_ref().filter(|_| item.key == reader.settings_key);
-        let settings = value.map(|value| (reader.settings)(value));
+        let value = item.value.as_ref().filter(|_| item.key == decoder.settings_key);
+        let settings = value.map(|value| (decoder.settings)(value));
         match settings {
             Some(Some(settings)) => {
                 let version = settings.version;
@@ -78,24 +78,24 @@
             None => true,
         }
     };
-    follow(&state, Log::Settings, reader, WAIT, Duration::ZERO, |items, _| {
+    follow(&state, Log::Settings, decoder, WAIT, Duration::ZERO, |items, _| {
         items.iter().map(&take).collect()
     })
     .await;
 }
 
 /// Keeps the list of servers up to date.
-pub async fn servers(state: Rc<State>, reader: Reader) {
+pub async fn servers(state: Rc<State>, decoder: Decoder) {
     let take = |items: &[Item], view: View| {
         let before = state.peers().len();
-        let change = |item| entries::change(&state, reader, item, view.regained);
+        let change = |item| entries::change(&state, decoder, item, view.regained);
         let taken: Vec<bool> = items.iter().map(change).collect();
         if view.whole {
             entries::drop_missing(&state, items, view.regained);
         }
         entries::drop_expired(&state);
-        shared_read::note_list(&state, view.end);
-        state.listed.set(true);
+        shared_read::record_list(&state, view.end);
+        state.servers_read.set(true);
         let after = state.peers().len();
         if after != before {
             log::info!(
@@ -108,7 +108,7 @@
         }
         taken
     };
-    follow(&state, Log::Servers, reader, Duration::ZERO, LIST, take).await;
+    follow(&state, Log::Servers, decoder, Duration::ZERO, LIST, take).await;
 }
 
 /// How records were read.
@@ -126,7 +126,7 @@
 async fn follow(
     state: &State,
     log: Log,
-    reader: Reader,
+    decoder: Decoder,
     wait: Duration,
     pause: Duration,
     mut take: impl FnMut(&[Item], View) -> Vec<bool>,
@@ -153,22 +153,22 @@
             // Entries that the copy lacks are written again as lapsed ones are.
             back = Some(Instant::now());
         }
-        if log == Log::Servers && shared_read::take_read_all(state) {
+        if log == Log::Servers && shared_read::take_full_read_request(state) {
             at = None;
         }
         let read = match at {
             None => newest(state, log, restored).await,
-            Some(from) => changes(state, log, reader, End { offset: from, era }, wait).await,
+            Some(from) => changes(state, log, decoder, End { offset: from, era }, wait).await,
         };
         match read {
             Ok(Batch { items, end, source }) => {
                 (era, restored) = (state.store.era(), false);
                 if source != Source::Router {
-                    state.store_answers();
+                    state.record_store_answer();
                 }
                 failures = 0;
                 if let Some(since) =
-                    told.take().filter(|since| shared_read::was_silent(state, *since))
+                    told.take().filter(|since| shared_read::was_store_silent_since(state, *since))
                 {
                     log::info!("gateway: store regained log={log} told_away={since:?}");
                     back = Some(Instant::now());
@@ -180,7 +180,7 @@
                 let regained = back.is_some_and(|b| b.elapsed() < REGAINED);
                 let whole = source == Source::Newest;
                 let taken = take(&items, View { end, whole, regained });
-                shared_read::keep_newest(state, log, &items, &taken, end, whole);
+                shared_read::cache_newest(state, log, &items, &taken, end, whole);
                 at = Some(end);
                 if source != Source::Router {
                     shared_read::pause_after_read(state, pause).await;
@@ -190,7 +190,7 @@
                 log::info!("gateway: log={log} from={at:?} records were deleted, reading all");
                 at = None;
             }
-            Err(Fault::Told) => {
+            Err(Fault::SourceCutOff) => {
                 told.get_or_insert(state.now());
                 rest(state, log, PAUSE).await;
             }
@@ -207,14 +207,14 @@
     }
 }
 
-/// Waits after a read of a log that failed: for `pause` if its reader is the one that asks whether the store is
+/// Waits after a read of a log that failed: for `pause` if its decoder is the one that asks whether the store is
 /// back, else until that one has an answer. Whether it is the one that asks.
 ///
 /// A router that hears from another one does not ask: that one says when the store is back.
 async fn rest(state: &State, log: Log, pause: Duration) -> bool {
-    let asks = state.store_fails(log);
-    let pause = if asks && shared_read::may_ask(state) { pause } else { OTHERS };
-    let _ = tokio::time::timeout(pause, state.store_back.notified()).await;
+    let asks = state.record_store_failure(log);
+    let pause = if asks && shared_read::may_read_store(state) { pause } else { OTHERS };
+    let _ = tokio::time::timeout(pause, state.store_returned.notified()).await;
     asks
 }
 
@@ -261,7 +261,7 @@
                 after = page.last().map(|i| i.key.clone());
                 items.extend(page);
                 if !more || after.is_none() {
-                    shared_read::keep(state, log, end, &[], |_| true);
+                    shared_read::cache_records(state, log, end, &[], |_| true);
                     return Ok(Batch { items, end, source: Source::Newest });
                 }
             }
@@ -273,25 +273,26 @@
 async fn changes(
     state: &State,
     log: Log,
-    reader: Reader,
+    decoder: Decoder,
     End { offset: from, era }: End,
     wait: Duration,
 ) -> Result<Batch, Fault> {
-    let heard = shared_read::read(state, log, from).await.filter(|_| state.store.era() == era);
+    let heard =
+        shared_read::read_from_source(state, log, from).await.filter(|_| state.store.era() == era);
     let (records, end, source) = match heard {
         Some((records, end)) => (records, end, Source::Router),
-        None if !shared_read::may_ask(state) => return Err(Fault::Told),
+        None if !shared_read::may_read_store(state) => return Err(Fault::SourceCutOff),
         None => {
             let wait = longest(state, wait);
             match state.store.call(Call::Read { log, from, era, wait }).await? {
                 Reply::Records(records, _) => {
                     let end = from + records.len() as Offset;
-                    let news = changed(state, log, reader, &records);
-                    let worth = |record: &Bytes| match (log, (reader.item)(record)) {
+                    let news = changed(state, log, decoder, &records);
+                    let worth = |record: &Bytes| match (log, (decoder.item)(record)) {
                         (Log::Servers, Some((key, _))) => news.binary_search(&key).is_ok(),
                         _ => true,
                     };
-                    shared_read::keep(state, log, from, &records, worth);
+                    shared_read::cache_records(state, log, from, &records, worth);
                     ((from..).zip(records).collect(), end, Source::Store)
                 }
                 other => return Err(Fault::Unreadable(format!("{other:?}"))),
@@ -299,7 +300,7 @@
         }
     };
     let keyed = |(offset, record): (Offset, Bytes)| {
-        let (key, value) = (reader.item)(&record)?;
+        let (key, value) = (decoder.item)(&record)?;
         Some(Item { key, value, offset })
     };
     Ok(Batch { items: records.into_iter().filter_map(keyed).collect(), end, source })
@@ -307,18 +308,18 @@
 
 /// Servers of which records tell anything that this router does not know; heartbeats do not. All records of
 /// such a server count: of a change and its undoing, the second says what is known already.
-fn changed(state: &State, log: Log, reader: Reader, records: &[Bytes]) -> Vec<Id> {
+fn changed(state: &State, log: Log, decoder: Decoder, records: &[Bytes]) -> Vec<Id> {
     if log != Log::Servers {
         return Vec::new();
     }
-    let keyed = records.iter().filter_map(|record| (reader.item)(record));
+    let keyed = records.iter().filter_map(|record| (decoder.item)(record));
     let mut news: Vec<Id> = keyed
         .filter(|(key, value)| {
-            let entry = value.as_ref().and_then(|value| (reader.server)(key, value));
+            let entry = value.as_ref().and_then(|value| (decoder.server)(key, value));
             match (entry, state.peer(key)) {
                 (Some(entry), Some(peer)) => {
                     let known = peer.server();
-                    !entry.is_before(&known) && (peer.lapsed() || !entry.says_same(&known))
+                    !entry.is_before(&known) && (peer.lapsed() || !entry.has_same_content(&known))
                 }
                 _ => true,
             }
@@ -334,9 +335,9 @@
 fn longest(state: &State, usual: Duration) -> Duration {
     match () {
         // The answer tells that the store is back.
-        () if state.store_away() => Duration::ZERO,
+        () if state.store_unavailable() => Duration::ZERO,
         // What others ask of this router must not grow old.
-        () if shared_read::reads(state) => usual.min(FRESH),
+        () if shared_read::is_reader(state) => usual.min(FRESH),
         () => usual,
     }
 }
--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Reader;
+use super::Decoder;
 use crate::peer::{Entry, Peer};
 use crate::server::{Id, Server};
 use crate::state::State;
@@ -12,8 +12,8 @@
 const LAPSED: Duration = Duration::from_millis(2200);
 
 /// Takes a record of the list over; whether it was taken, as none that is newer is known.
-pub(super) fn change(state: &State, reader: Reader, item: &Item, regained: bool) -> bool {
-    let entry = item.value.as_ref().and_then(|value| (reader.server)(&item.key, value));
+pub(super) fn change(state: &State, decoder: Decoder, item: &Item, regained: bool) -> bool {
+    let entry = item.value.as_ref().and_then(|value| (decoder.server)(&item.key, value));
     let known = Entry { offset: item.offset, heard: state.now() };
     match (entry, state.peer(&item.key)) {
         (Some(server), Some(peer)) => {
@@ -41,7 +41,7 @@
             peer.update(server, known);
         }
         (Some(server), None) => {
-            if let Some(gone) = state.gone(&server).filter(|gone| !gone.is_before(&server)) {
+            if let Some(gone) = state.removed(&server).filter(|gone| !gone.is_before(&server)) {
                 note_old(state, &server, &gone, item.offset);
                 return false;
             }
--- a/crates/gateway/src/follow/news.rs
+++ b/crates/gateway/src/follow/notices.rs
@@ -40,7 +40,7 @@
             return None;
         }
     };
-    state.store_answers();
+    state.record_store_answer();
     let era = state.store.era();
     let from = end.saturating_sub(BEFORE);
     let call = Call::Read { log: Log::Notices, from, era, wait: Duration::ZERO };
@@ -52,7 +52,7 @@
             return Some((end, era));
         }
     };
-    shared_read::keep(state, Log::Notices, from, &records, |_| true);
+    shared_read::cache_records(state, Log::Notices, from, &records, |_| true);
     catch_up(state, records.iter().map(|record| &record[..])).await;
     Some((from + records.len() as Offset, era))
 }
@@ -60,7 +60,7 @@
 /// Takes over what was said before, once the servers are known that it speaks of.
 async fn catch_up(state: &Rc<State>, said: impl Iterator<Item = &[u8]>) {
     let said: Vec<Notice> = said.filter_map(Notice::decode).collect();
-    while !state.listed.get() {
+    while !state.servers_read.get() {
         let _ = tokio::time::timeout(PAUSE, state.changed.notified()).await;
     }
     notice::catch_up(state, &said);
@@ -79,7 +79,7 @@
         let call = match at {
             None => Call::Append { log: Log::Notices, records: Vec::new(), at: None },
             Some((from, era)) => {
-                let heard = shared_read::read(&state, Log::Notices, from).await;
+                let heard = shared_read::read_from_source(&state, Log::Notices, from).await;
                 if let Some((records, end)) = heard.filter(|_| state.store.era() == era) {
                     at = Some((end, era));
                     records
@@ -88,7 +88,7 @@
                         .for_each(|w| notice::receive(&state, &w));
                     continue;
                 }
-                if !shared_read::may_ask(&state) {
+                if !shared_read::may_read_store(&state) {
                     rest(&state, Log::Notices, PAUSE * (1 << DOUBLINGS)).await;
                     continue;
                 }
@@ -98,21 +98,21 @@
         };
         match state.store.call(call).await {
             Ok(Reply::Appended(end)) => {
-                state.store_answers();
-                shared_read::keep(&state, Log::Notices, end, &[], |_| true);
+                state.record_store_answer();
+                shared_read::cache_records(&state, Log::Notices, end, &[], |_| true);
                 at = Some((end, state.store.era()));
             }
             Ok(Reply::Records(records, _)) => {
-                state.store_answers();
+                state.record_store_answer();
                 if let Some((from, _)) = at {
-                    shared_read::keep(&state, Log::Notices, from, &records, |_| true);
+                    shared_read::cache_records(&state, Log::Notices, from, &records, |_| true);
                 }
                 at = at.map(|(from, era)| (from + records.len() as Offset, era));
                 records
                     .iter()
                     .filter_map(|r| Notice::decode(r))
                     .for_each(|w| notice::receive(&state, &w));
-                if shared_read::reads(&state) {
+                if shared_read::is_reader(&state) {
                     sleep(BATCH).await;
                 }
             }
@@ -134,16 +134,16 @@
 /// Writes down what the other routers are told.
 pub async fn announce(state: Rc<State>) {
     loop {
-        state.noticed.notified().await;
+        state.notices_queued.notified().await;
         let most = SAME * state.routers();
-        if state.sharing.members() < roster::FROM {
+        if state.sharing.members() < roster::MIN_SHARING_ROUTERS {
             sleep(most.mul_f64(rand::random())).await;
         }
         let mut notices: Vec<Notice> = state.notices.borrow_mut().drain(..).collect();
         notices.retain(|notice| !notice::was_announced(&state, notice));
-        notices.retain(|notice| !shared_read::say(&state, notice) || notice.lasts());
+        notices.retain(|notice| !shared_read::publish(&state, notice) || notice.is_durable());
         // What is told after the store is back is out of date.
-        if notices.is_empty() || state.store_away() {
+        if notices.is_empty() || state.store_unavailable() {
             continue;
         }
         let records = notices.iter().map(Notice::encode).collect();
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -18,7 +18,7 @@
 
 use crate::shared_read;
 use crate::state::State;
-use crate::store::{Call, Fault, Generation, Offset, Seat};
+use crate::store::{Assignment, Call, Fault, Generation, Offset};
 use order::{Given, Planned};
 use term::Term;
 
@@ -102,7 +102,7 @@
             leader.act().await;
         }
         let state = &leader.state;
-        state.gives.set(leader.term.is_some_and(|term| term.lasts()));
+        state.is_leader.set(leader.term.is_some_and(|term| term.lasts()));
         let _ = tokio::time::timeout(LOOK, state.changed.notified()).await;
         sleep(LOOK / 5).await;
     }
@@ -123,7 +123,7 @@
             let Some((seat, until)) = self.join().await else { return };
             match self.renew(seat, until).await {
                 // Whoever added to the log may hold the seat by now: it is asked for again before the next try.
-                Err(Fault::Moved { end: Some(end) }) if !self.is_out() => self.end = end,
+                Err(Fault::EndMismatch { end: Some(end) }) if !self.is_out() => self.end = end,
                 Ok(()) | Err(_) => return,
             }
         }
@@ -138,27 +138,27 @@
         let (now, state) = (self.state.now(), &self.state);
         let pause = pause(self.is_calm());
         let heard = state.sharing.generation() > self.generation
-            || self.kept.is_some_and(|kept| kept < state.regained());
+            || self.kept.is_some_and(|kept| kept < state.store_regained_at());
         let wait = if heard && !self.failed { HAND_OVER } else { pause };
-        shared_read::is_check_due(state) || self.kept.is_none_or(|kept| now >= kept + wait)
+        shared_read::is_store_check_due(state) || self.kept.is_none_or(|kept| now >= kept + wait)
     }
 
     /// Whether nothing waits for the next answer: this router has no part in giving orders and hears of changes from
     /// another one, or the store is away.
     fn is_calm(&self) -> bool {
         let state = &self.state;
-        let idle = !self.first && shared_read::hears(state);
-        self.term.is_none() && (idle || state.store_away())
+        let idle = !self.first && shared_read::follows_source(state);
+        self.term.is_none() && (idle || state.store_unavailable())
     }
 
     /// Asks for the seat; the answer, and until when a term under it lasts.
-    async fn join(&mut self) -> Option<(Seat, Duration)> {
+    async fn join(&mut self) -> Option<(Assignment, Duration)> {
         let (now, calm) = (self.state.now(), self.is_calm());
         self.kept = Some(now);
         let (seat, until) = match term::keep(&self.state, self.generation, calm).await {
             Ok(kept) => kept,
             Err(e) => {
-                shared_read::note_silence(&self.state);
+                shared_read::record_store_silence(&self.state);
                 self.state.tenure.borrow_mut().ends();
                 self.failed = true;
                 log::debug!("gateway: seat not kept: {e}");
@@ -166,25 +166,25 @@
             }
         };
         self.failed = false;
-        shared_read::note_answer(&self.state, now);
+        shared_read::record_store_answer(&self.state, now);
         self.steady = if seat.generation == self.generation { self.steady + 1 } else { 0 };
         self.generation = seat.generation;
-        self.first = seat.first;
+        self.first = seat.holds_first;
         if self.steady == 0 {
             // A seat that moves is free once its holder has joined with the new generation.
             // Until then nobody gives orders, and what is lost stays lost.
             self.kept = Some((now + HAND_OVER).saturating_sub(pause(calm)));
         }
-        self.state.sharing.joined(seat);
+        self.state.sharing.record_assignment(seat);
         // While seats change hands, a router may hold few of its own, or none.
-        if self.steady >= STEADY && seat.held > 0 {
+        if self.steady >= STEADY && seat.assigned > 0 {
             let before = self.state.routers();
-            self.state.count_routers((seat.all / seat.held).max(1));
+            self.state.count_routers((seat.total / seat.assigned).max(1));
             let routers = self.state.routers();
             if routers != before {
                 log::info!(
                     "gateway: routers={routers} before={before} seats={} generation={}",
-                    seat.held,
+                    seat.assigned,
                     seat.generation
                 );
             }
@@ -193,10 +193,10 @@
     }
 
     /// Goes on with a term, begins one, or ends it; why none was begun.
-    async fn renew(&mut self, seat: Seat, until: Duration) -> Result<(), Fault> {
+    async fn renew(&mut self, seat: Assignment, until: Duration) -> Result<(), Fault> {
         let (generation, era) = (seat.generation, self.state.store.era());
         match self.term.filter(|term| term.end.era == era) {
-            _ if !seat.first => {
+            _ if !seat.holds_first => {
                 if self.term.take().is_some() {
                     log::info!("gateway: gives_orders=false generation={generation}");
                 }
@@ -251,7 +251,7 @@
                 // The next term begins at once: it tells what became of the append.
                 self.kept = None;
                 self.end = match e {
-                    Fault::Moved { end: Some(end) } => end,
+                    Fault::EndMismatch { end: Some(end) } => end,
                     _ => term.end.offset,
                 };
                 self.note_failure().await;
@@ -282,7 +282,7 @@
         let Some(settings) = state.settings() else { return Ok(()) };
         for service in &settings.services {
             let Some(model) = &service.model else { continue };
-            let peers = state.of(&service.name);
+            let peers = state.peers_of(&service.name);
             order::check(state, &peers, &mut self.given).await;
             survey::ask_doubted(state, &peers).await;
             let first = peers.iter().all(|p| p.span(state.now()).is_empty());
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -84,7 +84,7 @@
 /// lost at any time; it counts for those that have just started.
 fn lost(state: &State, peers: &[Rc<Peer>], zone: Zone) -> Vec<Duration> {
     let was_here = |server: &Server| server.card.is_some() && route::zone(&server.zone) == zone;
-    let gone = state.gone_within(RETURNS).into_iter();
+    let gone = state.removed_within(RETURNS).into_iter();
     let gone = gone.filter(|(s, _)| was_here(s) && s.state == server::State::Ready);
     let silent = peers.iter().filter(|p| p.counts_as_dead() && was_here(&p.server()));
     gone.map(|(_, ago)| ago).chain(silent.map(|_| STARTED)).collect()
@@ -106,12 +106,15 @@
 /// How long some data centre has lacked layers that nobody is loading.
 fn lasting(state: &State, gaps: &[Gap]) -> Duration {
     let whole = gaps.iter().all(|gap| gap.missing.is_empty());
-    match (whole, state.broken_since.get()) {
-        (true, _) => state.broken_since.set(None),
-        (false, None) => state.broken_since.set(Some(state.now())),
+    match (whole, state.layers_missing_since.get()) {
+        (true, _) => state.layers_missing_since.set(None),
+        (false, None) => state.layers_missing_since.set(Some(state.now())),
         (false, Some(_)) => {}
     }
-    state.broken_since.get().map_or(Duration::ZERO, |since| state.now().saturating_sub(since))
+    state
+        .layers_missing_since
+        .get()
+        .map_or(Duration::ZERO, |since| state.now().saturating_sub(since))
 }
 
 /// Says which layers each data centre lacks, when that has changed.
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -147,7 +147,7 @@
     for ((span, _, peer), accepted) in ready.iter().zip(futures_util::future::join_all(sent).await)
     {
         if accepted {
-            let until = state.now() + patience(&model.shape, model.load, *span, ready.len());
+            let until = state.now() + patience(&model.shape, model.load_time, *span, ready.len());
             given.push(Given {
                 server: peer.server().id.clone(),
                 span: *span,
--- a/crates/gateway/src/leader/term.rs
+++ b/crates/gateway/src/leader/term.rs
@@ -7,7 +7,7 @@
 
 use crate::clock;
 use crate::state::State;
-use crate::store::{Call, End, Fault, Generation, Log, Offset, Reply, Seat};
+use crate::store::{Assignment, Call, End, Fault, Generation, Log, Offset, Reply};
 
 /// How long a seat lasts. A dead holder is replaced after this time; layers that it would have
 /// ordered meanwhile are missing.
@@ -62,7 +62,7 @@
     state: &State,
     generation: Generation,
     calm: bool,
-) -> Result<(Seat, Duration), Fault> {
+) -> Result<(Assignment, Duration), Fault> {
     // The seat's time runs from the call's arrival, so counting from its sending is safe. The shorter time counts also
     // for a call that asked for more: the next one shortens it.
     let until = clock::boot() + TTL.mul_f64(SURE);
@@ -77,7 +77,7 @@
 /// Begins a term, if the log of orders ends at `end`.
 pub(super) async fn begin(
     state: &State,
-    seat: Seat,
+    seat: Assignment,
     until: Duration,
     end: Offset,
 ) -> Result<Term, Fault> {
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -207,7 +207,7 @@
 /// Asks for permits of those servers of a service that name limits and to which `suits` applies, if it is time for that,
 /// and waits for the answers for a moment.
 pub async fn ask(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
-    let mut peers = state.of(service);
+    let mut peers = state.peers_of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
     let until = Instant::now() + ANSWER;
     for peer in peers {
@@ -229,7 +229,7 @@
 /// The answer to a caller whose request is over the limits of a service's servers.
 pub fn refuse(state: &State, service: &str) -> Response<Body> {
     let (now, routers) = (state.now(), state.routers());
-    let peers = state.of(service);
+    let peers = state.peers_of(service);
     let times = peers.iter().filter_map(|p| p.limited.come_back(routers, now));
     answer::own_after(Reason::Limited, times.min())
 }
@@ -260,7 +260,7 @@
     let free_age = last.map_or(Duration::ZERO, |last| now.saturating_sub(last));
     let ask = Ask { limit: limit.0, free, free_age, want: peer.limited.waiting.get() };
     let avoid = |address| state.neighbours.avoids(address, now);
-    match shared_read::keeper(state, &id, avoid) {
+    match shared_read::owner(state, &id, avoid) {
         // Nobody is known: each takes an equal part.
         None => {
             let limit = ask.limit.max(LEAST) / f64::from(state.routers());
@@ -321,7 +321,7 @@
 /// Gives permits from the ledger that this router keeps.
 fn keep(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
     let now = state.now();
-    let mut ledgers = state.keeper.ledgers.borrow_mut();
+    let mut ledgers = state.ledgers.ledgers.borrow_mut();
     ledgers.retain(|(_, ledger)| ledger.asked().is_some_and(|at| now < at + FORGOTTEN));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -106,7 +106,7 @@
     }
 
     /// Whether it is written to the store as well, for routers that start when no other one is left.
-    pub fn lasts(&self) -> bool {
+    pub fn is_durable(&self) -> bool {
         matches!(
             self,
             Notice::Heavy { .. } | Notice::Refused { .. } | Notice::Cleared { refused: true, .. }
@@ -161,10 +161,10 @@
             }
             if let Some(peer) = state.peer(server).filter(|p| silent(p, now)) {
                 peer.fail(now);
-                if state.gives.get() {
+                if state.is_leader.get() {
                     probe::verify(state, &peer);
                 }
-                state.lost.notify_waiters();
+                state.server_suspected.notify_waiters();
                 log::info!("gateway: server={server} suspect=true why=another router says so");
             }
         }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -121,7 +121,7 @@
     /// Whether another server may be asked while `running` others work on it.
     fn may_ask(&self, running: u32) -> bool {
         let route = &self.call.route;
-        let repeats = running == 0 || route.class.repeatable();
+        let repeats = running == 0 || route.class.is_retryable();
         repeats && self.ran + running < route.attempts && self.asked.len() < TRIES
     }
 
@@ -147,7 +147,7 @@
                 crash::completed(state, call);
                 peer.went_on();
                 let answer = answer::whole(head, body);
-                let better = call.route.class.repeatable() && (running > 0 || self.may_ask(0));
+                let better = call.route.class.is_retryable() && (running > 0 || self.may_ask(0));
                 if !better || !answer.status().is_server_error() {
                     return Some(answer);
                 }
@@ -180,7 +180,7 @@
                     );
                 }
                 self.fallback = answer::own(Reason::Lost);
-                if !call.route.class.repeatable() {
+                if !call.route.class.is_retryable() {
                     return Some(answer::own(Reason::Lost));
                 }
             }
@@ -251,7 +251,7 @@
 
 fn choose(state: &State, service: &str, but: &[String]) -> Option<Rc<Peer>> {
     let now = state.now();
-    let mut peers = state.of(service);
+    let mut peers = state.peers_of(service);
     peers.retain(|p| p.ready() && p.limited.allows(now) && !but.contains(&p.server().id));
     let healthy: Vec<_> = peers.iter().filter(|p| p.usable(now)).cloned().collect();
     // If all are suspected, the suspicion is more likely about the way there than about each.
@@ -271,7 +271,7 @@
 /// Whether all servers that take work name limits, which are used up.
 fn over_limit(state: &State, service: &str) -> bool {
     let now = state.now();
-    let mut peers = state.of(service);
+    let mut peers = state.peers_of(service);
     peers.retain(|p| p.ready());
     !peers.is_empty() && peers.iter().all(|p| !p.limited.allows(now))
 }
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -246,7 +246,7 @@
         log::warn!("gateway: server={} suspect=true why={why}", server.id);
         state.metrics.suspected();
         state.announce(Notice::Silent { server: server.id.clone() });
-        state.lost.notify_waiters();
+        state.server_suspected.notify_waiters();
         state.changed.notify_waiters();
     }
 }
--- a/crates/gateway/src/repeats.rs
+++ b/crates/gateway/src/repeats.rs
@@ -102,7 +102,7 @@
 /// Whether a repeat of a service is there for a need.
 pub fn has(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    state.repeats.of(service, need).borrower.borrow_mut().held(now) > 0
+    state.retries.of(service, need).borrower.borrow_mut().held(now) > 0
         || state.budget(service, |budget| budget.left_for(need, now, routers)) > 0
 }
 
@@ -113,18 +113,18 @@
     }
     let now = state.now();
     let others = state.sharing.others(now);
-    state.repeats.of(service, need).borrower.borrow_mut().may_ask(&others, now)
+    state.retries.of(service, need).borrower.borrow_mut().may_ask(&others, now)
 }
 
 /// Takes one repeat, if there is one.
 pub fn take(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    let taken = state.repeats.of(service, need).borrower.borrow_mut().take(now)
+    let taken = state.retries.of(service, need).borrower.borrow_mut().take(now)
         || state.budget(service, |budget| budget.take_for(need, now, routers));
     match taken {
         true => heavy::note_use(state, service),
         false => {
-            state.repeats.refused.set(state.repeats.refused.get() + 1);
+            state.retries.refused.set(state.retries.refused.get() + 1);
             state.metrics.budget_empty();
         }
     }
@@ -133,7 +133,7 @@
 
 /// Waits for a moment until a repeat is there, or others have none.
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
-    let purse = state.repeats.of(service, need);
+    let purse = state.retries.of(service, need);
     let until = Instant::now() + WAIT;
     let _waits = Counted::new(&purse.waiting);
     while !has(state, service, need) {
@@ -193,7 +193,7 @@
     }
     purse.asking.set(false);
     purse.answered.notify_waiters();
-    if let Line::Written(left_out) = state.repeats.lines.borrow_mut().take(began, LINES) {
+    if let Line::Written(left_out) = state.retries.lines.borrow_mut().take(began, LINES) {
         let (refused, took) = (round.want(), state.now().saturating_sub(began));
         log::info!(
             "gateway: repeats service={service} need={need:?} part={part} wanted={wanted} borrowed={} \
@@ -220,7 +220,7 @@
     match loan {
         Some(loan) => {
             borrower.receive(&ask, loan, asked, now);
-            state.repeats.borrowed.set(state.repeats.borrowed.get() + u64::from(loan.lent));
+            state.retries.borrowed.set(state.retries.borrowed.get() + u64::from(loan.lent));
         }
         None => {
             log::info!("gateway: no repeats of address={lender} why=no answer within {HELD:?}");
@@ -235,7 +235,7 @@
 
 /// Lines for the metrics: this router's parts of the budgets, what is left of them, and loans.
 pub fn page(state: &State) -> String {
-    let (now, routers, repeats) = (state.now(), state.routers(), &state.repeats);
+    let (now, routers, repeats) = (state.now(), state.routers(), &state.retries);
     let mut text = format!(
         "hyssop_repeats_lent_total {}\nhyssop_repeats_borrowed_total {}\nhyssop_repeats_refused_total {}\n",
         repeats.lent.get(),
--- a/crates/gateway/src/repeats/datagram.rs
+++ b/crates/gateway/src/repeats/datagram.rs
@@ -78,7 +78,7 @@
             );
         }
     };
-    state.repeats.post.socket.get_or_init(|| socket.clone());
+    state.retries.post.socket.get_or_init(|| socket.clone());
     let mut buffer = [0; LONGEST];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -94,7 +94,7 @@
             log::debug!("gateway: a datagram of {from}, which is no member, is left out");
             continue;
         }
-        state.repeats.trust(from);
+        state.retries.trust(from);
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Ask(question)) if question.version == VERSION => {
                 receive_question(&state, question, from).await;
@@ -129,7 +129,7 @@
 }
 
 fn receive_answer(state: &State, answer: &Answer, from: SocketAddr) {
-    let mut open = state.repeats.post.open.borrow_mut();
+    let mut open = state.retries.post.open.borrow_mut();
     let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
@@ -141,7 +141,7 @@
 
 async fn send(state: &State, datagram: &Datagram, to: SocketAddr) -> io::Result<()> {
     let bytes = postcard::to_allocvec(datagram).expect("plain fields");
-    match state.repeats.post.socket.get() {
+    match state.retries.post.socket.get() {
         Some(socket) => socket.send_to(&bytes, to).await.map(drop),
         None => Err(io::ErrorKind::NotConnected.into()),
     }
@@ -155,7 +155,7 @@
     ask: &Ask<SocketAddr>,
     limit: Duration,
 ) -> Option<Loan> {
-    let (post, to) = (&state.repeats.post, ask.lenders[0]);
+    let (post, to) = (&state.retries.post, ask.lenders[0]);
     // A late answer to the process before this one is none to a question of this one.
     let id = state.sharing.incarnation().wrapping_add(post.next.replace(post.next.get() + 1));
     let (sender, answered) = oneshot::channel();
--- a/crates/gateway/src/repeats/handover.rs
+++ b/crates/gateway/src/repeats/handover.rs
@@ -121,7 +121,7 @@
             Err(why) => log::info!("gateway: repeats not taken_over why={why}"),
         }
         sleep(AGAIN).await;
-        while state.store_away() {
+        while state.store_unavailable() {
             sleep(AGAIN).await;
         }
     };
@@ -136,7 +136,7 @@
             for (service, handover) in &services {
                 state.budget(service, |budget| budget.take_over(handover, gap));
             }
-            state.repeats.succession.taken.set(true);
+            state.retries.succession.taken.set(true);
             let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
             log::info!("gateway: repeats taken_over used={used} gap={gap:?}");
         }
@@ -151,7 +151,7 @@
 async fn open(state: &State) -> Result<Vec<Record>, Fault> {
     let (vm, process) = (state.setup.vm.clone(), state.sharing.incarnation());
     let end = append(state, &Record::Start { vm: vm.clone(), process }, None).await?;
-    state.repeats.succession.started.set(Some((end, state.store.era())));
+    state.retries.succession.started.set(Some((end, state.store.era())));
     let own = end.saturating_sub(1);
     for from in BACK.map(|back| own.saturating_sub(back)) {
         let count = (own - from) as usize;
@@ -189,7 +189,7 @@
 
 /// Ends the use of repeats, and hands over to the next process.
 pub async fn hand_over(state: &State) {
-    state.repeats.succession.ended.set(true);
+    state.retries.succession.ended.set(true);
     let Some(services) = state.close_budgets() else {
         return log::info!("gateway: repeats not handed_over why=this process is young");
     };
@@ -202,7 +202,7 @@
 }
 
 async fn write_end(state: &State, services: Vec<(String, Handover)>) -> Result<(), Fault> {
-    let started = state.repeats.succession.started.get();
+    let started = state.retries.succession.started.get();
     let mut at = match started.filter(|(_, era)| *era == state.store.era()) {
         Some((at, _)) => at,
         None => reopen(state).await?,
@@ -218,7 +218,7 @@
     loop {
         match append(state, &record, Some(at)).await {
             Ok(_) => return Ok(()),
-            Err(Fault::Moved { .. }) => {}
+            Err(Fault::EndMismatch { .. }) => {}
             Err(fault) => return Err(fault),
         }
         at = match after_others(state, at).await {
@@ -231,12 +231,12 @@
 /// Writes the start down again, as the record of it was deleted or never written; the offset after it.
 async fn reopen(state: &State) -> Result<Offset, Fault> {
     let (before, own) = (open(state).await?, state.sharing.incarnation());
-    let started = state.repeats.succession.started.get();
+    let started = state.retries.succession.started.get();
     match (before.last(), started) {
         // Another process has started since; it does not know that this one still runs.
-        (Some(last), _) if last.process() != own => Err(Fault::Moved { end: None }),
+        (Some(last), _) if last.process() != own => Err(Fault::EndMismatch { end: None }),
         (_, Some((end, _))) => Ok(end),
-        (_, None) => Err(Fault::Moved { end: None }),
+        (_, None) => Err(Fault::EndMismatch { end: None }),
     }
 }
 
@@ -245,7 +245,7 @@
     let vm = state.setup.vm.clone();
     match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await? {
         Reply::Records(records, _) if records.iter().any(|r| Record::decode(r, &vm).is_some()) => {
-            Err(Fault::Moved { end: None })
+            Err(Fault::EndMismatch { end: None })
         }
         Reply::Records(records, _) => Ok(from + records.len() as Offset),
         other => Err(Fault::Unreadable(format!("{other:?}"))),
--- a/crates/gateway/src/repeats/heavy.rs
+++ b/crates/gateway/src/repeats/heavy.rs
@@ -31,19 +31,19 @@
 pub(super) fn note_use(state: &State, service: &str) {
     let (now, routers) = (state.now(), state.routers());
     let fresh = |told: Duration| now < told + AGAIN;
-    if state.repeats.heavy.told.get().is_some_and(fresh)
+    if state.retries.heavy.told.get().is_some_and(fresh)
         || !state.budget(service, |budget| budget.is_heavy(now, routers))
     {
         return;
     }
-    state.repeats.heavy.told.set(Some(now));
+    state.retries.heavy.told.set(Some(now));
     log::info!("gateway: repeats service={service} heavy use is told");
     state.announce(Notice::Heavy { at_ms: clock::wall().as_millis() as u64 });
 }
 
 /// Hears of heavy use.
 pub fn hear(state: &State) {
-    state.repeats.heavy.told.set(Some(state.now()));
+    state.retries.heavy.told.set(Some(state.now()));
 }
 
 /// Takes over what was said of heavy use before this process started.
@@ -56,7 +56,7 @@
 
 /// Notes that all that was said before this process started was taken over.
 pub fn note_read(state: &State) {
-    let heavy = &state.repeats.heavy;
+    let heavy = &state.retries.heavy;
     let before = if heavy.told.get().is_some() { Before::Unknown } else { Before::Light };
     heavy.before.set(before);
     log::info!("gateway: repeats before={before:?}");
@@ -68,7 +68,7 @@
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
     match () {
         () if state.setup.first_start => Before::First,
-        () if state.repeats.succession.has_taken_over() && member => Before::Told,
-        () => state.repeats.heavy.before.get(),
+        () if state.retries.succession.has_taken_over() && member => Before::Told,
+        () => state.retries.heavy.before.get(),
     }
 }
--- a/crates/gateway/src/repeats/lender.rs
+++ b/crates/gateway/src/repeats/lender.rs
@@ -23,7 +23,7 @@
         return Loan { lent: 0, again: UNKNOWN };
     }
     let loan = state.budget(service, |budget| budget.lend(need, want, now, routers));
-    state.repeats.lent.set(state.repeats.lent.get() + u64::from(loan.lent));
+    state.retries.lent.set(state.retries.lent.get() + u64::from(loan.lent));
     heavy::note_use(state, service);
     loan
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -80,18 +80,18 @@
 
 impl Drop for Held {
     fn drop(&mut self) {
-        self.state.bodies.set(self.state.bodies.get() - self.bytes);
+        self.state.body_bytes.set(self.state.body_bytes.get() - self.bytes);
     }
 }
 
 impl Held {
     fn grow(&mut self, bytes: usize) -> Result<(), Reason> {
         let most = (self.state.setup.memory as f64 * BODIES) as usize;
-        if self.state.bodies.get() + bytes > most {
+        if self.state.body_bytes.get() + bytes > most {
             return Err(Reason::NoMemory);
         }
         self.bytes += bytes;
-        self.state.bodies.set(self.state.bodies.get() + bytes);
+        self.state.body_bytes.set(self.state.body_bytes.get() + bytes);
         Ok(())
     }
 }
@@ -100,8 +100,8 @@
 pub async fn read(state: &Rc<State>, head: Parts, body: &mut Incoming) -> Result<Call, Reason> {
     let came = Instant::now();
     let settings = match state.settings() {
-        Some(settings) if state.listed.get() => settings,
-        _ if state.store_away() => return Err(Reason::Unsettled),
+        Some(settings) if state.servers_read.get() => settings,
+        _ if state.store_unavailable() => return Err(Reason::Unsettled),
         _ => return Err(Reason::Starting),
     };
     let host = host(&head.headers, &head.uri)?;
@@ -188,7 +188,7 @@
     headers: &HeaderMap,
 ) -> Result<(Option<String>, Rank), Reason> {
     let rank = route.rank;
-    if route.public || !settings.keyed {
+    if route.public || !settings.requires_key {
         return Ok((None, rank));
     }
     let mut keys = headers.get_all(&state.codec.names.key).iter();
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -16,10 +16,10 @@
 
 /// Routers from which on one reads for others. With fewer, the calls saved are not worth another way for settings to
 /// arrive late.
-pub const FROM: usize = 3;
+pub const MIN_SHARING_ROUTERS: usize = 3;
 
 /// Routers up to which all ask the one that reads the store.
-pub const DIRECT: usize = 32;
+pub const MAX_DIRECT_ROUTERS: usize = 32;
 
 /// A router as the group knows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -111,11 +111,11 @@
     /// use gateway::roster::Roster;
     /// let names = ["one@10.0.0.1:1@a@5", "two@10.0.0.2:1@a@9", "three@10.0.0.3:1@b@9"];
     /// let roster = Roster::new(1, names.map(str::to_owned).to_vec());
-    /// let keeper = roster.keeper("key", |_| false).unwrap();
-    /// let next = roster.keeper("key", |member| member == keeper).unwrap();
+    /// let keeper = roster.owner("key", |_| false).unwrap();
+    /// let next = roster.owner("key", |member| member == keeper).unwrap();
     /// assert_ne!(keeper, next);
     /// ```
-    pub fn keeper(&self, key: &str, avoid: impl Fn(&Member) -> bool) -> Option<&Member> {
+    pub fn owner(&self, key: &str, avoid: impl Fn(&Member) -> bool) -> Option<&Member> {
         let rank = |member: &&Member| xxh3_64(format!("{}/{key}", member.vm).as_bytes());
         self.members.iter().filter(|member| !avoid(member)).max_by_key(rank)
     }
@@ -138,14 +138,14 @@
         data_centre: &str,
         avoid: impl Fn(SocketAddr) -> bool,
     ) -> Source {
-        if self.members.len() < FROM {
+        if self.members.len() < MIN_SHARING_ROUTERS {
             return Source::Store;
         }
         let usable = || self.members.iter().filter(|m| m.vm == vm || !avoid(m.address));
         let Some(reader) = usable().next().filter(|m| m.vm != vm) else { return Source::Store };
         let relay = usable().find(|m| m.data_centre == data_centre);
         match relay {
-            Some(relay) if relay.vm != vm && self.members.len() > DIRECT => {
+            Some(relay) if relay.vm != vm && self.members.len() > MAX_DIRECT_ROUTERS => {
                 Source::Relay(relay.address)
             }
             _ => Source::Reader(reader.address),
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -144,7 +144,7 @@
     match whole(state, service, model, but) {
         true if over_limit(state, service, but) => Reason::Limited,
         true => Reason::Full,
-        false if state.store_away() => Reason::NoPathAway,
+        false if state.store_unavailable() => Reason::NoPathAway,
         false => Reason::NoPath,
     }
 }
@@ -152,7 +152,7 @@
 /// Whether each layer of the model is held by some server that takes requests and is not in `but`.
 fn whole(state: &State, service: &str, model: &Model, but: &[String]) -> bool {
     let now = state.now();
-    let peers = state.of(service);
+    let peers = state.peers_of(service);
     let taking = |p: &&Rc<Peer>| p.willing(now) && !but.contains(&p.server().id);
     let spans = peers.iter().filter(taking).map(|p| p.span(now));
     let mut spans: Vec<Span> = spans.collect();
@@ -164,7 +164,7 @@
 /// Whether a request could begin only at servers that name limits, which are used up.
 fn over_limit(state: &State, service: &str, but: &[String]) -> bool {
     let now = state.now();
-    let mut firsts = state.of(service);
+    let mut firsts = state.peers_of(service);
     firsts.retain(|p| p.willing(now) && begins(p, now) && !but.contains(&p.server().id));
     !firsts.is_empty() && firsts.iter().all(|p| !p.limited.allows(now))
 }
@@ -199,7 +199,7 @@
     want: &Want<'_>,
 ) -> Option<Path> {
     let now = state.now();
-    let peers: Vec<Rc<Peer>> = state.of(service);
+    let peers: Vec<Rc<Peer>> = state.peers_of(service);
     let shape = &model.shape;
     let bytes = size(model, tokens);
     let crowds = crowds(&peers, now, state.routers());
@@ -215,7 +215,7 @@
         .filter_map(|(i, p)| {
             let kept = want.kept.iter().any(|k| Rc::ptr_eq(k, p));
             let crowd = crowd_of(zone(&p.server().zone));
-            let known = Known { now, crowd, lasting: state.lasting.get() };
+            let known = Known { now, crowd, lasting: state.stream_duration.get() };
             let mut holder = holder(p, i, model, tokens, kept, known)?;
             holder.layer_ms *= if kept { KEPT } else { 1.0 };
             Some(holder)
@@ -339,7 +339,7 @@
     let Known { now, crowd, lasting } = known;
     match peer.filled.get().filter(|(_, at)| now < *at + FILLED) {
         Some((part, heard)) => {
-            let at = heard.saturating_sub(model.told_after);
+            let at = heard.saturating_sub(model.report_lag);
             let told = Told { work: part * memory, at, lasting };
             match crowd.own > 0.0 {
                 true => told.now(now, &peer.begun.borrow(), crowd.ratio),
@@ -351,7 +351,7 @@
             let own = f64::from(peer.running.get());
             let running = ((own + own.sqrt() + 1.0) * crowd.ratio).min(crowd.running);
             let layers = f64::from(peer.span(now).len());
-            running * model.usual * model.shape.token_bytes * layers
+            running * model.mean_context_tokens * model.shape.token_bytes * layers
         }
     }
 }
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -24,11 +24,11 @@
     but: &[String],
 ) -> String {
     let now = state.now();
-    let peers = state.of(service);
+    let peers = state.peers_of(service);
     let crowds = crowds(&peers, now, state.routers());
     let (mut silent, mut declined, mut reading, mut scarce) = (0, 0, 0, 0);
     let mut zones: Vec<DataCentre> = Vec::new();
-    let known = |crowd| Known { now, crowd, lasting: state.lasting.get() };
+    let known = |crowd| Known { now, crowd, lasting: state.stream_duration.get() };
     for (i, peer) in peers.iter().enumerate() {
         let zone = zone(&peer.server().zone);
         let crowd = crowds.iter().find(|c| c.zone == zone).copied();
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -46,7 +46,7 @@
 
 impl Server {
     /// Whether another entry says the same. The time it stays slow runs down and is no news.
-    pub fn says_same(&self, other: &Server) -> bool {
+    pub fn has_same_content(&self, other: &Server) -> bool {
         let same = Server { cold: other.cold, sequence: other.sequence, ..self.clone() };
         same == *other
     }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -22,7 +22,7 @@
 
 impl Class {
     /// Whether a request that may have run may be sent again.
-    pub fn repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Class::Safe | Class::Resumable)
     }
 }
@@ -74,11 +74,11 @@
     /// Accelerator types by name, sorted.
     pub cards: Vec<(String, Card)>,
     /// Mean tokens of a request's context while it runs.
-    pub usual: f64,
+    pub mean_context_tokens: f64,
     /// Age of what a server tells of its load when it tells that.
-    pub told_after: Duration,
+    pub report_lag: Duration,
     /// Time to load all layers.
-    pub load: Duration,
+    pub load_time: Duration,
 }
 
 impl Model {
@@ -136,7 +136,7 @@
     /// Keys, sorted.
     pub keys: Vec<Key>,
     /// Whether requests need a key at all.
-    pub keyed: bool,
+    pub requires_key: bool,
     /// What callers may send.
     pub limits: Limits,
 }
--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -9,13 +9,13 @@
 //! router whose source knows too little asks the next one, and reads the store itself if it has heard nothing for
 //! more than a second.
 
-mod away;
+mod availability;
 mod client;
 mod members;
 pub mod page;
-mod rumour;
+mod gossip;
 mod server;
-mod spread;
+mod forward;
 mod tail;
 mod view;
 
@@ -29,17 +29,20 @@
 use tokio::time::timeout;
 
 use crate::pool::Pool;
-use crate::roster::{FROM, Member, Roster, Source};
+use crate::roster::{MIN_SHARING_ROUTERS, Member, Roster, Source};
 use crate::state::State;
-use crate::store::{Era, Generation, Item, Log, Offset, Seat};
-pub use away::{is_check_due, may_ask, note_answer, note_silence, was_silent};
+use crate::store::{Assignment, Era, Generation, Item, Log, Offset};
+pub use availability::{
+    is_store_check_due, may_read_store, record_store_answer, record_store_silence,
+    was_store_silent_since,
+};
 pub(crate) use client::get;
 pub use client::{run, snapshot};
-pub use rumour::{Origin, Rumours};
+pub use forward::{forward_notices, publish};
+pub use gossip::{Gossip, Origin};
 pub use server::answer;
-pub use spread::{say, tell};
-pub use tail::{Placed, Tail};
-pub use view::{Digest, View, digest, note_list, take_read_all};
+pub use tail::{LogRecord, Tail};
+pub use view::{Digest, View, digest, record_list, take_full_read_request};
 
 /// Logs that are shared.
 pub const LOGS: [Log; 3] = [Log::Settings, Log::Servers, Log::Notices];
@@ -90,9 +93,9 @@
     /// When a source last gave a useful answer.
     heard: Cell<Option<Duration>>,
     /// Whether the source said that the store does not answer it.
-    away: Cell<bool>,
+    store_unavailable: Cell<bool>,
     /// When the source first said so.
-    told_away: Cell<Duration>,
+    reported_unavailable: Cell<Duration>,
     /// When this router is to find out whether the store answers it.
     check: Cell<Option<Duration>>,
     /// When the store answered this router though the source says that it is away.
@@ -115,7 +118,7 @@
     /// Woken when there is news, or another source.
     news: Notify,
     /// Notices that were heard or said.
-    rumours: RefCell<Rumours>,
+    gossip: RefCell<Gossip>,
     /// Start of the source's process and the number of its next notice.
     heard_notices: Cell<(u64, u64)>,
     /// Number of the next own notice that the source is to be told.
@@ -138,12 +141,12 @@
 
 impl Sharing {
     /// Records of a log from an offset on, and the offset after the last one; none if some are not kept.
-    pub fn from(&self, log: Log, from: Offset) -> Option<(Vec<Placed>, Offset)> {
+    pub fn records_from(&self, log: Log, from: Offset) -> Option<(Vec<LogRecord>, Offset)> {
         self.tails.borrow()[position(log)?].from(from)
     }
 
     /// Notes the generation of the group and the seats of this router.
-    pub fn joined(&self, seat: Seat) {
+    pub fn record_assignment(&self, seat: Assignment) {
         let generation = seat.generation;
         if self.joined.replace(generation) != generation {
             self.news.notify_waiters();
@@ -206,7 +209,7 @@
     sharing.renewed.set(Some(state.now()));
     log::info!("gateway: era={era} before={before} dropped offsets={ends:?}");
     sharing.news.notify_waiters();
-    state.store_back.notify_waiters();
+    state.store_returned.notify_waiters();
 }
 
 fn position(log: Log) -> Option<usize> {
@@ -226,24 +229,24 @@
 
 /// The router that keeps what all routers have to agree on about `key`, if the members are known; `avoid` says which
 /// ones are passed over.
-pub fn keeper(state: &State, key: &str, avoid: impl Fn(SocketAddr) -> bool) -> Option<Member> {
+pub fn owner(state: &State, key: &str, avoid: impl Fn(SocketAddr) -> bool) -> Option<Member> {
     state
         .sharing
         .roster
         .borrow()
-        .keeper(key, |m| m.vm != state.setup.vm && avoid(m.address))
+        .owner(key, |m| m.vm != state.setup.vm && avoid(m.address))
         .cloned()
 }
 
 /// Whether this router reads the store for others.
-pub fn reads(state: &State) -> bool {
-    state.sharing.members() >= FROM && source(state) == Source::Store
+pub fn is_reader(state: &State) -> bool {
+    state.sharing.members() >= MIN_SHARING_ROUTERS && source(state) == Source::Store
 }
 
 /// Whether this router hears from another one.
-pub fn hears(state: &State) -> bool {
+pub fn follows_source(state: &State) -> bool {
     let recently = |at: Duration| state.now() < at + GRACE;
-    !state.sharing.away.get()
+    !state.sharing.store_unavailable.get()
         && source(state) != Source::Store
         && state.sharing.heard.get().is_some_and(recently)
 }
@@ -251,17 +254,17 @@
 /// Pause after a read of the list of servers from the store, where a router that reads alone pauses for
 /// `alone`. The router that reads for others does it twice as often, as what it knows ages on its way.
 fn pause(state: &State, alone: Duration) -> Duration {
-    if reads(state) { alone / 2 } else { alone }
+    if is_reader(state) { alone / 2 } else { alone }
 }
 
 /// Pause after an answer of another router, among that many.
 ///
 /// ```
 /// # use std::time::Duration;
-/// assert_eq!(gateway::shared_read::rest(4), Duration::from_millis(100));
-/// assert_eq!(gateway::shared_read::rest(300), Duration::from_millis(400));
+/// assert_eq!(gateway::shared_read::poll_pause(4), Duration::from_millis(100));
+/// assert_eq!(gateway::shared_read::poll_pause(300), Duration::from_millis(400));
 /// ```
-pub fn rest(routers: u32) -> Duration {
+pub fn poll_pause(routers: u32) -> Duration {
     PAUSE.mul_f64((f64::from(routers) / CROWD).clamp(1.0, 4.0))
 }
 
@@ -277,21 +280,25 @@
 
 /// Records that another router gave, and the offset after the last one it read; waits a moment if there are none.
 /// None if this router has to read the store itself.
-pub async fn read(state: &State, log: Log, from: Offset) -> Option<(Vec<Placed>, Offset)> {
+pub async fn read_from_source(
+    state: &State,
+    log: Log,
+    from: Offset,
+) -> Option<(Vec<LogRecord>, Offset)> {
     renew(state);
-    if !hears(state) {
+    if !follows_source(state) {
         return None;
     }
-    let (records, end) = state.sharing.from(log, from)?;
+    let (records, end) = state.sharing.records_from(log, from)?;
     if !records.is_empty() {
         return Some((records, end));
     }
     let _ = timeout(LOOK, state.sharing.news.notified()).await;
-    state.sharing.from(log, from).filter(|_| hears(state))
+    state.sharing.records_from(log, from).filter(|_| follows_source(state))
 }
 
 /// Keeps what was read from the store for the others; `worth` says which records tell something new.
-pub fn keep(
+pub fn cache_records(
     state: &State,
     log: Log,
     from: Offset,
@@ -306,7 +313,7 @@
 }
 
 /// Up to which offset a log is known, and how long ago that was read from the store, for log lines.
-pub fn known(state: &State, log: Log) -> String {
+pub fn read_position(state: &State, log: Log) -> String {
     let tails = state.sharing.tails.borrow();
     let tail = position(log).map(|at| &tails[at]);
     match tail.and_then(|tail| tail.end().zip(tail.age(state.now()))) {
@@ -318,7 +325,7 @@
 /// Keeps the newest values of keys up to the offset `end`, for routers that ask for all of them; `whole` says that the
 /// items are all there are, as the record of a key's end may have been deleted. Of an item that was not `taken` over, as
 /// a newer one is known, the value of before stays: a restored store may hold older ones.
-pub fn keep_newest(
+pub fn cache_newest(
     state: &State,
     log: Log,
     items: &[Item],
--- a/crates/gateway/src/shared_read/client.rs
+++ b/crates/gateway/src/shared_read/client.rs
@@ -9,15 +9,15 @@
 use hyper::{Request, StatusCode};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::away::is_answered;
+use super::availability::has_store_answered;
+use super::forward::receive;
+use super::gossip::Origin;
 use super::members::{adopt, locate};
 use super::page::{LONGEST, Page, Snapshot};
-use super::rumour::Origin;
-use super::spread::hear;
 use super::view::{self, View};
-use super::{LOGS, LOOK, OLD, WAIT, position, renew, rest, source};
+use super::{LOGS, LOOK, OLD, WAIT, poll_pause, position, renew, source};
 use crate::pool::Pool;
-use crate::roster::{DIRECT, FROM, Source};
+use crate::roster::{MAX_DIRECT_ROUTERS, MIN_SHARING_ROUTERS, Source};
 use crate::state::State;
 use crate::store::{Log, Offset};
 
@@ -61,7 +61,7 @@
                 log::debug!("gateway: a page of era {} is left out", page.era);
             }
             Ok(Ok(page)) if page.era > era => {
-                state.store.learn(page.era);
+                state.store.adopt_era(page.era);
                 renew(&state);
                 continue;
             }
@@ -69,7 +69,7 @@
             Ok(Err(why)) => lose(&state, address, &why),
             Err(_) => lose(&state, address, &format!("no answer within {limit:?}")),
         }
-        sleep(rest(state.routers())).await;
+        sleep(poll_pause(state.routers())).await;
     }
 }
 
@@ -98,7 +98,7 @@
     let [settings, servers, notices] = from;
     let generation = state.sharing.generation();
     let (incarnation, heard) = state.sharing.heard_notices.get();
-    let answered = u8::from(is_answered(state));
+    let answered = u8::from(has_store_answered(state));
     let list = state.sharing.view.get();
     let list = list.map(|View { end, digest }| format!("&list_end={end}&list={digest}"));
     let path = format!(
@@ -133,21 +133,21 @@
         adopt(state, roster);
     }
     sharing.heard_notices.set((page.incarnation, page.next_notice));
-    hear(state, page.notices, Origin::Source);
+    receive(state, page.notices, Origin::Source);
     // Notices come by the way; those in the store are of routers that have no source.
     let timely = page.parts.iter().zip(LOGS).filter(|(_, log)| *log != Log::Notices);
     let oldest = timely.filter_map(|(part, _)| part.age()).max().unwrap_or_default();
-    let told = sharing.away.replace(page.away);
-    if page.away {
+    let told = sharing.store_unavailable.replace(page.store_unavailable);
+    if page.store_unavailable {
         // It says so at once when the store is back.
-        state.store_fails(Log::Settings);
+        state.record_store_failure(Log::Settings);
         if !told {
-            sharing.told_away.set(now);
+            sharing.reported_unavailable.set(now);
             sharing.check.set(Some(now + CHECK.mul_f64(rand::random())));
         }
-        if is_answered(state) {
-            sharing.away.set(false);
-            state.store_answers();
+        if has_store_answered(state) {
+            sharing.store_unavailable.set(false);
+            state.record_store_answer();
             lose(state, address, "the store answers this router");
         }
         sharing.news.notify_waiters();
@@ -158,14 +158,14 @@
         return lose(state, address, &format!("what it knows is {oldest:?} old"));
     }
     sharing.heard.set(Some(now));
-    state.store_answers();
+    state.record_store_answer();
     let (mut news, list) = (false, page.view);
     let restored = sharing.renewed.get().is_some_and(|at| now < at + RESTORED);
     for (tail, part) in sharing.tails.borrow_mut().iter_mut().zip(page.parts) {
         match part.age() {
             Some(age) => {
                 let (from, end) = (part.from, part.end);
-                news |= tail.take(from, part.placed(), end, now.saturating_sub(age), now);
+                news |= tail.take(from, part.log_records(), end, now.saturating_sub(age), now);
             }
             // More may have been read since the question was asked.
             None if tail.end().is_some_and(|end| end != part.from) => {}
@@ -213,14 +213,14 @@
 fn giver(state: &State) -> Option<SocketAddr> {
     match source(state) {
         Source::Relay(address) => Some(address),
-        Source::Reader(address) if state.sharing.members() <= DIRECT => Some(address),
+        Source::Reader(address) if state.sharing.members() <= MAX_DIRECT_ROUTERS => Some(address),
         Source::Reader(_) | Source::Store => None,
     }
 }
 
 async fn ask_all(state: &State, log: Log) -> Option<Snapshot> {
     let known = async {
-        while state.sharing.members() < FROM {
+        while state.sharing.members() < MIN_SHARING_ROUTERS {
             state.sharing.news.notified().await;
         }
     };
@@ -243,7 +243,7 @@
             None
         }
         Ok(snapshot) => {
-            state.store.learn(snapshot.era);
+            state.store.adopt_era(snapshot.era);
             renew(state);
             log::info!("gateway: snapshot log={log} address={address} end={}", snapshot.end);
             let at = position(log)?;
--- a/crates/gateway/src/shared_read/spread.rs
+++ b/crates/gateway/src/shared_read/forward.rs
@@ -7,18 +7,18 @@
 use tokio::time::{sleep, timeout};
 
 use super::client::{ANSWER, get, pool};
-use super::page::Told;
-use super::rumour::Origin;
+use super::gossip::Origin;
+use super::page::NoticeBatch;
 use super::source;
 use crate::notice::{self, Notice};
-use crate::roster::{FROM, Source};
+use crate::roster::{MIN_SHARING_ROUTERS, Source};
 use crate::state::State;
 
 /// Time in which notices are gathered before the source is told.
 const GATHER: Duration = Duration::from_millis(20);
 
 /// Takes notices of other routers over, and passes on those that are news.
-pub(super) fn hear(state: &Rc<State>, notices: Vec<Vec<u8>>, from: Origin) {
+pub(super) fn receive(state: &Rc<State>, notices: Vec<Vec<u8>>, from: Origin) {
     for notice in notices {
         let notice = Bytes::from(notice);
         if keep(state, notice.clone(), from) {
@@ -32,7 +32,7 @@
 
 /// Keeps a notice and wakes those that pass it on; whether it is news.
 fn keep(state: &State, notice: Bytes, from: Origin) -> bool {
-    let news = state.sharing.rumours.borrow_mut().hear(notice, from, state.now());
+    let news = state.sharing.gossip.borrow_mut().insert(notice, from, state.now());
     if news {
         state.sharing.news.notify_waiters();
         state.sharing.tell.notify_one();
@@ -41,27 +41,28 @@
 }
 
 /// Tells the other routers by way of those that read for others; false if there are none.
-pub fn say(state: &State, notice: &Notice) -> bool {
-    if state.sharing.members() < FROM || state.setup.inner.is_none() {
+pub fn publish(state: &State, notice: &Notice) -> bool {
+    if state.sharing.members() < MIN_SHARING_ROUTERS || state.setup.inner.is_none() {
         return false;
     }
-    keep(state, notice.encode(), Origin::Below);
+    keep(state, notice.encode(), Origin::Downstream);
     true
 }
 
 /// Tells the source what this router has heard or said, as long as the process runs.
-pub async fn tell(state: Rc<State>) {
+pub async fn forward_notices(state: Rc<State>) {
     loop {
         state.sharing.tell.notified().await;
         sleep(GATHER).await;
-        let (notices, next) = state.sharing.rumours.borrow().from_below(state.sharing.told.get());
+        let (notices, next) =
+            state.sharing.gossip.borrow().from_downstream(state.sharing.told.get());
         state.sharing.told.set(next);
         let (Source::Reader(address) | Source::Relay(address)) = source(&state) else { continue };
         if notices.is_empty() {
             continue;
         }
         let notices = notices.iter().map(|notice| notice.to_vec()).collect();
-        let told = Told::new(notices).encode();
+        let told = NoticeBatch::new(notices).encode();
         let pool = pool(&state, address);
         match timeout(ANSWER, get(&pool, "/told", told)).await {
             Ok(Ok(_)) => {}
--- a/crates/gateway/src/shared_read/rumour.rs
+++ b/crates/gateway/src/shared_read/gossip.rs
@@ -26,14 +26,14 @@
 
 /// Notices that a router has heard or said, the oldest first.
 #[derive(Debug, Default)]
-pub struct Rumours {
+pub struct Gossip {
     next: Number,
-    kept: VecDeque<Rumour>,
+    kept: VecDeque<Entry>,
 }
 
 /// A notice and how it came here.
 #[derive(Debug)]
-struct Rumour {
+struct Entry {
     number: Number,
     notice: Bytes,
     at: Duration,
@@ -46,33 +46,33 @@
     /// The router that this one hears from.
     Source,
     /// This router itself, or one that hears from it.
-    Below,
+    Downstream,
 }
 
-impl Rumours {
+impl Gossip {
     /// Keeps a notice to pass it on; whether it is news.
     ///
     /// ```
     /// # use std::time::Duration;
-    /// let mut rumours = gateway::shared_read::Rumours::default();
+    /// let mut gossip = gateway::shared_read::Gossip::default();
     /// # use gateway::shared_read::Origin;
     /// let at = Duration::from_millis;
-    /// assert!(rumours.hear("a".into(), Origin::Below, at(0)));
-    /// assert!(!rumours.hear("a".into(), Origin::Source, at(100)));
-    /// assert!(rumours.hear("a".into(), Origin::Source, at(2000)));
-    /// assert_eq!(rumours.since(1), (vec!["a".into()], 2));
-    /// assert_eq!(rumours.from_below(0), (vec!["a".into()], 2));
+    /// assert!(gossip.insert("a".into(), Origin::Downstream, at(0)));
+    /// assert!(!gossip.insert("a".into(), Origin::Source, at(100)));
+    /// assert!(gossip.insert("a".into(), Origin::Source, at(2000)));
+    /// assert_eq!(gossip.since(1), (vec!["a".into()], 2));
+    /// assert_eq!(gossip.from_downstream(0), (vec!["a".into()], 2));
     /// ```
-    pub fn hear(&mut self, notice: Bytes, from: Origin, now: Duration) -> bool {
-        let old = |rumour: &Rumour| rumour.at + KEPT_FOR < now;
+    pub fn insert(&mut self, notice: Bytes, from: Origin, now: Duration) -> bool {
+        let old = |entry: &Entry| entry.at + KEPT_FOR < now;
         while self.kept.front().is_some_and(|first| self.kept.len() >= KEPT || old(first)) {
             self.kept.pop_front();
         }
-        let mut recent = self.kept.iter().rev().take_while(|rumour| now < rumour.at + SAME);
-        if recent.any(|rumour| rumour.notice == notice) || notice.len() > LONGEST {
+        let mut recent = self.kept.iter().rev().take_while(|entry| now < entry.at + SAME);
+        if recent.any(|entry| entry.notice == notice) || notice.len() > LONGEST {
             return false;
         }
-        self.kept.push_back(Rumour { number: self.next, notice, at: now, from });
+        self.kept.push_back(Entry { number: self.next, notice, at: now, from });
         self.next += 1;
         true
     }
@@ -84,17 +84,17 @@
 
     /// Notices from a number on that are still kept, and the number of the next one.
     pub fn since(&self, from: Number) -> (Vec<Bytes>, Number) {
-        (self.kept_from(from).map(|rumour| rumour.notice.clone()).collect(), self.next)
+        (self.kept_from(from).map(|entry| entry.notice.clone()).collect(), self.next)
     }
 
     /// The same without those that came from the source.
-    pub fn from_below(&self, from: Number) -> (Vec<Bytes>, Number) {
-        let below = self.kept_from(from).filter(|rumour| rumour.from == Origin::Below);
-        (below.map(|rumour| rumour.notice.clone()).collect(), self.next)
+    pub fn from_downstream(&self, from: Number) -> (Vec<Bytes>, Number) {
+        let below = self.kept_from(from).filter(|entry| entry.from == Origin::Downstream);
+        (below.map(|entry| entry.notice.clone()).collect(), self.next)
     }
 
-    fn kept_from(&self, from: Number) -> impl Iterator<Item = &Rumour> {
-        let skip = self.kept.partition_point(|rumour| rumour.number < from);
+    fn kept_from(&self, from: Number) -> impl Iterator<Item = &Entry> {
+        let skip = self.kept.partition_point(|entry| entry.number < from);
         self.kept.iter().skip(skip)
     }
 }
--- a/crates/gateway/src/shared_read/members.rs
+++ b/crates/gateway/src/shared_read/members.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::{reads, source};
-use crate::roster::{FROM, Roster};
+use super::{is_reader, source};
+use crate::roster::{MIN_SHARING_ROUTERS, Roster};
 use crate::state::State;
 use crate::store::{Call, Reply};
 
@@ -23,11 +23,12 @@
         return;
     }
     let changed = joined > sharing.generation();
-    let lost = sharing.heard.get().is_none_or(|at| at + LOST < now) && !sharing.away.get();
-    let few = sharing.members() < FROM;
+    let lost =
+        sharing.heard.get().is_none_or(|at| at + LOST < now) && !sharing.store_unavailable.get();
+    let few = sharing.members() < MIN_SHARING_ROUTERS;
     let due = match sharing.located.get() {
         None => true,
-        Some(at) if changed && (few || reads(state)) => at + LOCATE < now,
+        Some(at) if changed && (few || is_reader(state)) => at + LOCATE < now,
         Some(at) => changed && lost && at + LOST < now,
     };
     if !due {
@@ -70,7 +71,7 @@
     state.neighbours.keep(&others);
     let before = state.sharing.others.replace(others.clone().into());
     let joined = others.iter().filter(|address| before.binary_search(address).is_err());
-    joined.for_each(|address| state.repeats.trust(*address));
+    joined.for_each(|address| state.retries.trust(*address));
     let until = state.now() + state.setup.grace;
     let mut leaving = state.sharing.leaving.borrow_mut();
     leaving.extend(before.iter().map(|address| (*address, until)));
--- a/crates/gateway/src/shared_read/page.rs
+++ b/crates/gateway/src/shared_read/page.rs
@@ -7,8 +7,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::LOGS;
-use super::rumour::Number;
-use super::tail::Placed;
+use super::gossip::Number;
+use super::tail::LogRecord;
 use super::view::View;
 use crate::roster::Roster;
 use crate::store::{Era, Offset};
@@ -29,7 +29,7 @@
     /// The store's era that offsets belong to.
     pub era: Era,
     /// Whether the store does not answer the router that reads it.
-    pub away: bool,
+    pub store_unavailable: bool,
     /// The members of the group, if they have changed.
     pub roster: Option<Roster>,
     /// One for each of [`LOGS`].
@@ -68,15 +68,25 @@
     Version(#[error(not(source))] u16),
     /// It names records that were not asked for, or not in order.
     #[display("its answer does not follow on what is known")]
-    Past,
+    Discontinuous,
 }
 
 impl Page {
     /// A page of this version without notices.
-    pub fn new(away: bool, roster: Option<Roster>, parts: Vec<Part>) -> Page {
+    pub fn new(store_unavailable: bool, roster: Option<Roster>, parts: Vec<Part>) -> Page {
         let (notices, incarnation, next_notice) = (Vec::new(), 0, 0);
         let (version, era, view) = (VERSION, 0, None);
-        Page { version, era, away, roster, parts, view, notices, incarnation, next_notice }
+        Page {
+            version,
+            era,
+            store_unavailable,
+            roster,
+            parts,
+            view,
+            notices,
+            incarnation,
+            next_notice,
+        }
     }
 
     /// The bytes of the answer.
@@ -91,7 +101,7 @@
     /// let part = |from, end| Part { from, end, age_ms: Some(3), records: vec![(from, vec![1])] };
     /// let page = Page::new(false, None, vec![part(4, 5), part(0, 1), part(9, 10)]);
     /// assert_eq!(Page::decode(&page.encode(), [4, 0, 9]).unwrap(), page);
-    /// assert_eq!(Page::decode(&page.encode(), [4, 0, 11]), Err(Fault::Past));
+    /// assert_eq!(Page::decode(&page.encode(), [4, 0, 11]), Err(Fault::Discontinuous));
     /// ```
     pub fn decode(bytes: &[u8], from: [Offset; LOGS.len()]) -> Result<Page, Fault> {
         let unreadable = |e: postcard::Error| Fault::Unreadable(e.to_string());
@@ -103,7 +113,7 @@
         let follows = page.parts.len() == from.len()
             && page.parts.iter().zip(from).all(|(part, from)| part.follows(from));
         page.roster = page.roster.map(Roster::received);
-        if follows { Ok(page) } else { Err(Fault::Past) }
+        if follows { Ok(page) } else { Err(Fault::Discontinuous) }
     }
 }
 
@@ -122,7 +132,7 @@
     }
 
     /// Its records.
-    pub fn placed(self) -> Vec<Placed> {
+    pub fn log_records(self) -> Vec<LogRecord> {
         self.records.into_iter().map(|(offset, record)| (offset, Bytes::from(record))).collect()
     }
 }
@@ -163,16 +173,16 @@
 
 /// Notices that one router tells another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct NoticeBatch {
     version: u16,
     /// The notices.
     pub notices: Vec<Vec<u8>>,
 }
 
-impl Told {
+impl NoticeBatch {
     /// Notices of this version.
-    pub fn new(notices: Vec<Vec<u8>>) -> Told {
-        Told { version: VERSION, notices }
+    pub fn new(notices: Vec<Vec<u8>>) -> NoticeBatch {
+        NoticeBatch { version: VERSION, notices }
     }
 
     /// The bytes of the question.
@@ -181,9 +191,9 @@
     }
 
     /// Reads them.
-    pub fn decode(bytes: &[u8]) -> Result<Told, Fault> {
+    pub fn decode(bytes: &[u8]) -> Result<NoticeBatch, Fault> {
         let unreadable = |e: postcard::Error| Fault::Unreadable(e.to_string());
-        let told: Told = postcard::from_bytes(bytes).map_err(unreadable)?;
+        let told: NoticeBatch = postcard::from_bytes(bytes).map_err(unreadable)?;
         if told.version == VERSION { Ok(told) } else { Err(Fault::Version(told.version)) }
     }
 }
--- a/crates/gateway/src/shared_read/server.rs
+++ b/crates/gateway/src/shared_read/server.rs
@@ -9,10 +9,10 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time::timeout;
 
-use super::away::is_told_away;
-use super::page::{Page, Part, Snapshot, Told};
-use super::rumour::{self, Origin};
-use super::spread::hear;
+use super::availability::is_reported_unavailable;
+use super::forward::receive;
+use super::gossip::{self, Origin};
+use super::page::{NoticeBatch, Page, Part, Snapshot};
 use super::tail::Tail;
 use super::view::{self, View};
 use super::{LOGS, OLD, WAIT, renew};
@@ -49,11 +49,11 @@
 
 /// Hears the notices of another router.
 async fn listen(state: &Rc<State>, body: Incoming) -> Option<Bytes> {
-    let body = Limited::new(body, rumour::LONGEST * 4).collect().await;
+    let body = Limited::new(body, gossip::LONGEST * 4).collect().await;
     let told = body.map_err(|e| e.to_string());
-    match told.and_then(|body| Told::decode(&body.to_bytes()).map_err(|e| e.to_string())) {
+    match told.and_then(|body| NoticeBatch::decode(&body.to_bytes()).map_err(|e| e.to_string())) {
         Ok(told) => {
-            hear(state, told.notices, Origin::Below);
+            receive(state, told.notices, Origin::Downstream);
             Some(Bytes::new())
         }
         Err(why) => {
@@ -84,7 +84,7 @@
     let from = [number("settings")?, number("servers")?, number("notices")?];
     let generation = number("generation")?;
     let era = number("era").unwrap_or_default();
-    state.store.learn(era);
+    state.store.adopt_era(era);
     renew(state);
     if let (Some(end), Some(digest)) = (number("list_end"), number("list"))
         && state.store.era() == era
@@ -93,17 +93,17 @@
     }
     let incarnation = state.sharing.incarnation();
     // Notices of before it knew this process are not news.
-    let next = state.sharing.rumours.borrow().next();
+    let next = state.sharing.gossip.borrow().next();
     let heard = number("heard").filter(|_| number("incarnation") == Some(incarnation));
     let heard = heard.unwrap_or(next).min(next);
     // The other router knows that the store is there: this one looks again before it says that it is away.
     let look_again = number("answered") == Some(1) && is_away(state);
     if look_again {
         state.sharing.check.set(Some(state.now()));
-        state.store_back.notify_waiters();
+        state.store_returned.notify_waiters();
     }
     let away = || !look_again && is_away(state);
-    let silent = || state.sharing.rumours.borrow().next() == heard;
+    let silent = || state.sharing.gossip.borrow().next() == heard;
     let news = async {
         while !away() && state.store.era() == era && !has_news(state, from, generation) && silent()
         {
@@ -126,7 +126,7 @@
     let parts = parts.collect();
     let roster = state.sharing.roster.borrow();
     let roster = (roster.generation > generation).then(|| roster.clone());
-    let (notices, next_notice) = state.sharing.rumours.borrow().since(heard);
+    let (notices, next_notice) = state.sharing.gossip.borrow().since(heard);
     let notices = notices.iter().map(|notice| notice.to_vec()).collect();
     let mut page = Page::new(is_away(state), roster, parts);
     (page.notices, page.incarnation, page.next_notice) = (notices, incarnation, next_notice);
@@ -141,8 +141,8 @@
         let mut timely = tails.iter().zip(LOGS).filter(|(_, log)| *log != Log::Notices);
         timely.any(|(tail, _)| tail.age(state.now()).is_some_and(|age| age > OLD))
     };
-    let regained = state.now() < state.regained() + REGAINED;
-    state.store_away() || is_told_away(state) || (regained && old())
+    let regained = state.now() < state.store_regained_at() + REGAINED;
+    state.store_unavailable() || is_reported_unavailable(state) || (regained && old())
 }
 
 fn has_news(state: &State, from: [Offset; LOGS.len()], generation: Generation) -> bool {
@@ -177,8 +177,8 @@
         }
         None => {
             let kept = state.sharing.tails.borrow()[at].kept();
-            let (rumours, _) = state.sharing.rumours.borrow().since(0);
-            let notices = kept.into_iter().map(|(_, record)| record).chain(rumours);
+            let (gossip, _) = state.sharing.gossip.borrow().since(0);
+            let notices = kept.into_iter().map(|(_, record)| record).chain(gossip);
             notices.map(|notice| (String::new(), notice.to_vec())).collect()
         }
     };
--- a/crates/gateway/src/shared_read/tail.rs
+++ b/crates/gateway/src/shared_read/tail.rs
@@ -14,7 +14,7 @@
 const KEPT_FOR: Duration = Duration::from_secs(15);
 
 /// A record and where it stands in its log.
-pub type Placed = (Offset, Bytes);
+pub type LogRecord = (Offset, Bytes);
 
 /// The newest records of a log that tell something new.
 ///
@@ -25,7 +25,7 @@
 pub struct Tail {
     base: Offset,
     end: Offset,
-    records: VecDeque<(Placed, Duration)>,
+    records: VecDeque<(LogRecord, Duration)>,
     read: Option<Duration>,
 }
 
@@ -58,7 +58,7 @@
     pub fn take(
         &mut self,
         from: Offset,
-        records: Vec<Placed>,
+        records: Vec<LogRecord>,
         end: Offset,
         read: Duration,
         now: Duration,
@@ -84,7 +84,7 @@
     }
 
     /// Records from an offset on, and the offset after the last one read; none if some are not kept.
-    pub fn from(&self, from: Offset) -> Option<(Vec<Placed>, Offset)> {
+    pub fn from(&self, from: Offset) -> Option<(Vec<LogRecord>, Offset)> {
         let known = self.read.is_some() && self.base <= from;
         let skip = self.records.partition_point(|((offset, _), _)| *offset < from);
         let records = || self.records.iter().skip(skip).map(|(placed, _)| placed.clone()).collect();
@@ -92,7 +92,7 @@
     }
 
     /// Records that are kept.
-    pub fn kept(&self) -> Vec<Placed> {
+    pub fn kept(&self) -> Vec<LogRecord> {
         self.records.iter().map(|(placed, _)| placed.clone()).collect()
     }
 
--- a/crates/gateway/src/shared_read/view.rs
+++ b/crates/gateway/src/shared_read/view.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{hears, position};
+use super::{follows_source, position};
 use crate::server::Server;
 use crate::state::State;
 use crate::store::{Log, Offset};
@@ -41,7 +41,7 @@
 }
 
 /// Notes that the list of servers was taken over up to the offset `end`.
-pub fn note_list(state: &State, end: Offset) {
+pub fn record_list(state: &State, end: Offset) {
     let peers = state.peers();
     // The entry of a lapsed server is gone, here and at routers that have dropped it.
     let listed = peers.iter().filter(|peer| !peer.lapsed());
@@ -65,7 +65,9 @@
 }
 
 fn compare_with_source(state: &State) {
-    let Some(source) = state.sharing.source_view.get().filter(|_| hears(state)) else { return };
+    let Some(source) = state.sharing.source_view.get().filter(|_| follows_source(state)) else {
+        return;
+    };
     let (now, dispute) = (state.now(), &state.sharing.dispute);
     match (differ(state, source), dispute.get()) {
         (None, _) => {}
@@ -107,6 +109,6 @@
 }
 
 /// Whether the whole list is to be read now; true once for each time.
-pub fn take_read_all(state: &State) -> bool {
+pub fn take_full_read_request(state: &State) -> bool {
     state.sharing.read_all.take()
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -62,11 +62,11 @@
     settings: RefCell<Option<Rc<Settings>>>,
     peers: RefCell<Vec<Rc<Peer>>>,
     /// Last entries of servers that were removed, and when.
-    gone: RefCell<Vec<(Rc<Server>, Duration)>>,
+    removed: RefCell<Vec<(Rc<Server>, Duration)>>,
     budgets: RefCell<Vec<(String, Budget)>>,
     routers: RefCell<Crowd>,
     /// Whether the list of servers was read once.
-    pub listed: Cell<bool>,
+    pub servers_read: Cell<bool>,
     /// When the process was told to stop.
     pub stopping: Cell<Option<Duration>>,
     /// Callers' connections that are open.
@@ -78,19 +78,19 @@
     /// For how long some part of a model has been missing.
     pub missing: RefCell<Missing>,
     /// New requests that wait until a server has a place for them.
-    pub placeless: Cell<u32>,
+    pub unplaced_requests: Cell<u32>,
     /// Bytes of request bodies held.
-    pub bodies: Cell<usize>,
+    pub body_bytes: Cell<usize>,
     /// Woken when servers or settings change.
     pub changed: Notify,
     /// Woken when a server is suspected.
-    pub lost: Notify,
+    pub server_suspected: Notify,
     /// What this router sent over the links between data centres, by the pair of them.
     pub links: RefCell<Vec<((Zone, Zone), Meter)>>,
     /// Requests that wanted to cross a link between data centres, by the pair of them.
     pub crossings: RefCell<Vec<((Zone, Zone), Demand)>>,
     /// How long streams last.
-    pub lasting: Cell<Duration>,
+    pub stream_duration: Cell<Duration>,
     /// By how much timers are late in this process.
     pub lag: Cell<Duration>,
     /// The log whose reader asks again whether the store answers, while it does not.
@@ -98,13 +98,13 @@
     /// When the store last answered again after it had not.
     regained: Cell<Duration>,
     /// Woken when the store answers again.
-    pub store_back: Notify,
+    pub store_returned: Notify,
     /// Last line that was logged of the layers that data centres lack.
     pub placement: RefCell<String>,
     /// Since when some data centre lacks layers, as the router sees it that gives orders.
-    pub broken_since: Cell<Option<Duration>>,
+    pub layers_missing_since: Cell<Option<Duration>>,
     /// Whether this router gives orders.
-    pub gives: Cell<bool>,
+    pub is_leader: Cell<bool>,
     /// How it gets on with the first seat, while it holds it.
     pub tenure: RefCell<Tenure>,
     /// What it knows of the routers that read the store for others.
@@ -112,19 +112,19 @@
     /// What it knows of requests that end servers.
     pub crashes: Crashes,
     /// What it keeps for servers that name limits.
-    pub keeper: Keeper,
+    pub ledgers: Keeper,
     /// Repeats that it borrowed from others.
-    pub repeats: Repeats,
+    pub retries: Repeats,
     /// Connections to other routers.
     pub neighbours: Neighbours,
     /// Lines about refused requests.
-    pub refusals: RefCell<Quota>,
+    pub refusal_lines: RefCell<Quota>,
     /// Lines about broken runs.
-    pub losses: RefCell<Quota>,
+    pub broken_run_lines: RefCell<Quota>,
     /// Notices for the other routers that are still to be written.
     pub notices: RefCell<Vec<crate::notice::Notice>>,
     /// Woken when there are notices to write.
-    pub noticed: Notify,
+    pub notices_queued: Notify,
     start: Instant,
 }
 
@@ -138,39 +138,39 @@
             metrics,
             settings: RefCell::default(),
             peers: RefCell::default(),
-            gone: RefCell::default(),
+            removed: RefCell::default(),
             budgets: RefCell::default(),
             routers: RefCell::new(Crowd::new(ROUTERS, REMEMBERED)),
-            listed: Cell::new(false),
+            servers_read: Cell::new(false),
             stopping: Cell::new(None),
             callers: Cell::new(0),
             serving: Cell::new(0),
             shortage: RefCell::default(),
             missing: RefCell::default(),
-            placeless: Cell::new(0),
-            bodies: Cell::new(0),
+            unplaced_requests: Cell::new(0),
+            body_bytes: Cell::new(0),
             changed: Notify::new(),
-            lost: Notify::new(),
+            server_suspected: Notify::new(),
             links: RefCell::default(),
             crossings: RefCell::default(),
-            lasting: Cell::new(LASTING),
+            stream_duration: Cell::new(LASTING),
             lag: Cell::default(),
             asker: Cell::new(None),
             regained: Cell::default(),
-            store_back: Notify::new(),
+            store_returned: Notify::new(),
             placement: RefCell::default(),
-            gives: Cell::new(false),
+            is_leader: Cell::new(false),
             tenure: RefCell::default(),
             sharing: Sharing::default(),
             crashes: Crashes::default(),
-            keeper: Keeper::default(),
-            repeats: Repeats::default(),
+            ledgers: Keeper::default(),
+            retries: Repeats::default(),
             neighbours: Neighbours::default(),
-            refusals: RefCell::default(),
-            losses: RefCell::default(),
-            broken_since: Cell::new(None),
+            refusal_lines: RefCell::default(),
+            broken_run_lines: RefCell::default(),
+            layers_missing_since: Cell::new(None),
             notices: RefCell::default(),
-            noticed: Notify::new(),
+            notices_queued: Notify::new(),
             start: Instant::now(),
         })
     }
@@ -197,27 +197,27 @@
     }
 
     /// Whether the store did not answer the last read.
-    pub fn store_away(&self) -> bool {
+    pub fn store_unavailable(&self) -> bool {
         self.asker.get().is_some()
     }
 
     /// Notes that the store answered.
-    pub fn store_answers(&self) {
+    pub fn record_store_answer(&self) {
         if self.asker.take().is_some() {
             self.regained.set(self.now());
-            self.store_back.notify_waiters();
+            self.store_returned.notify_waiters();
         }
     }
 
     /// When the store last answered again after it had not.
-    pub fn regained(&self) -> Duration {
+    pub fn store_regained_at(&self) -> Duration {
         self.regained.get()
     }
 
     /// Notes that a read of a log failed; whether its reader is the one to ask again soon. Tens of routers
     /// that each ask for each log make hundreds of calls a second to a store that answers none,
     /// and a store that comes back is met by all of them; one call tells as much.
-    pub fn store_fails(&self, log: Log) -> bool {
+    pub fn record_store_failure(&self, log: Log) -> bool {
         let asker = self.asker.get().unwrap_or(log);
         self.asker.set(Some(asker));
         asker == log
@@ -239,7 +239,7 @@
 
     /// Whether callers may be sent here.
     pub fn ready(&self) -> bool {
-        self.stopping.get().is_none() && self.listed.get() && self.settings.borrow().is_some()
+        self.stopping.get().is_none() && self.servers_read.get() && self.settings.borrow().is_some()
     }
 
     /// All servers, sorted by id.
@@ -248,7 +248,7 @@
     }
 
     /// Servers of one service.
-    pub fn of(&self, service: &str) -> Vec<Rc<Peer>> {
+    pub fn peers_of(&self, service: &str) -> Vec<Rc<Peer>> {
         let peers = self.peers.borrow();
         peers.iter().filter(|p| p.server().service == service).cloned().collect()
     }
@@ -261,7 +261,7 @@
     }
 
     /// The server at that address.
-    pub fn at(&self, address: SocketAddr) -> Option<Rc<Peer>> {
+    pub fn peer_at(&self, address: SocketAddr) -> Option<Rc<Peer>> {
         self.peers.borrow().iter().find(|p| p.server().address == address).cloned()
     }
 
@@ -275,22 +275,22 @@
 
     /// Removes a server.
     pub fn remove(&self, id: &Id) {
-        let (now, mut gone) = (self.now(), self.gone.borrow_mut());
+        let (now, mut gone) = (self.now(), self.removed.borrow_mut());
         gone.retain(|(server, at)| now < *at + GONE && server.id != *id);
         gone.extend(self.peer(id).map(|peer| (peer.server(), now)));
         self.peers.borrow_mut().retain(|p| p.server().id != *id);
     }
 
     /// The last entry of a server that was removed lately, if it is of the same start.
-    pub fn gone(&self, server: &Server) -> Option<Rc<Server>> {
-        let gone = self.gone.borrow();
+    pub fn removed(&self, server: &Server) -> Option<Rc<Server>> {
+        let gone = self.removed.borrow();
         let same = |gone: &Server| gone.id == server.id && gone.is_same_start(server);
         gone.iter().map(|(gone, _)| gone).find(|gone| same(gone)).cloned()
     }
 
     /// Last entries of the servers that were removed within a time, and how long ago.
-    pub fn gone_within(&self, time: Duration) -> Vec<(Rc<Server>, Duration)> {
-        let (now, gone) = (self.now(), self.gone.borrow());
+    pub fn removed_within(&self, time: Duration) -> Vec<(Rc<Server>, Duration)> {
+        let (now, gone) = (self.now(), self.removed.borrow());
         let ago = gone.iter().map(|(server, at)| (server.clone(), now.saturating_sub(*at)));
         ago.filter(|(_, ago)| *ago < time).collect()
     }
@@ -304,7 +304,7 @@
                 let setup = &self.setup;
                 let mut fresh =
                     Budget::new(setup.retry_ratio, setup.retry_slack, setup.retry_window);
-                if self.repeats.has_ended() {
+                if self.retries.has_ended() {
                     fresh.close(self.now());
                 }
                 budgets.insert(at, (service.to_owned(), fresh));
@@ -342,14 +342,15 @@
     }
 
     /// Repeats of a service that this router may still send now.
-    pub fn repeats_left(&self, service: &str) -> u32 {
+    pub fn retries_left(&self, service: &str) -> u32 {
         let (now, routers) = (self.now(), self.routers());
         self.budget(service, |budget| budget.left(now, routers))
     }
 
     /// Notes how long a stream took that was delivered to its end.
-    pub fn note_lasting(&self, took: Duration) {
-        self.lasting.set(self.lasting.get().mul_f64(1.0 - NEWEST) + took.mul_f64(NEWEST));
+    pub fn record_stream_duration(&self, took: Duration) {
+        self.stream_duration
+            .set(self.stream_duration.get().mul_f64(1.0 - NEWEST) + took.mul_f64(NEWEST));
     }
 
     /// Passes a notice on to the other routers.
@@ -359,6 +360,6 @@
         if notices.len() < 64 {
             notices.push(word);
         }
-        self.noticed.notify_one();
+        self.notices_queued.notify_one();
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -78,15 +78,15 @@
 
 /// A share in the group of routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seat {
+pub struct Assignment {
     /// Generation of the group.
     pub generation: Generation,
     /// Seats that this router holds.
-    pub held: u32,
+    pub assigned: u32,
     /// Seats there are; they are dealt evenly.
-    pub all: u32,
+    pub total: u32,
     /// Whether it holds the first seat, whose holder gives orders.
-    pub first: bool,
+    pub holds_first: bool,
 }
 
 /// An answer.
@@ -99,7 +99,7 @@
     /// The offset after the last record.
     Appended(Offset),
     /// A share in the group.
-    Joined(Seat),
+    Joined(Assignment),
     /// Names of the members.
     Members(Vec<String>),
     /// Done.
@@ -108,9 +108,9 @@
 
 /// What an answer says of the store's era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum ReportedEra {
     /// Nothing, or there is no answer.
-    Nothing,
+    Absent,
     /// The era.
     Era(Era),
     /// Something that is no number.
@@ -123,7 +123,7 @@
     /// The reply, or why there is none.
     pub reply: Result<Reply, Fault>,
     /// What the answer says of the store's era.
-    pub era: Told,
+    pub era: ReportedEra,
 }
 
 type Pending = Pin<Box<dyn Future<Output = Answer>>>;
@@ -183,7 +183,7 @@
         let offset_era = call.offset_era();
         let outdated = || offset_era.is_some_and(|era| era != self.era.get());
         let (is_read, expected) = (matches!(call, Call::Read { .. }), call.expected_end());
-        let too_late = if is_read { Fault::Gone } else { Fault::Past };
+        let too_late = if is_read { Fault::Gone } else { Fault::Stale };
         if outdated() {
             return Err(too_late);
         }
@@ -194,9 +194,9 @@
             () = self.renewed.notified(), if is_read => return Err(too_late),
         };
         match answer.era {
-            Told::Nothing => {}
-            Told::Era(era) => self.note(era)?,
-            Told::Unreadable => self.note_odd("can't be read"),
+            ReportedEra::Absent => {}
+            ReportedEra::Era(era) => self.note(era)?,
+            ReportedEra::Unreadable => self.note_odd("can't be read"),
         }
         match answer.reply? {
             // The offset was that of an era that has ended meanwhile. The log of a copy may happen to end there as well.
@@ -207,7 +207,7 @@
             }
             Reply::Joined(seat) => {
                 let generation = self.era.get() << GENERATION_BITS | seat.generation;
-                Ok(Reply::Joined(Seat { generation, ..seat }))
+                Ok(Reply::Joined(Assignment { generation, ..seat }))
             }
             reply => Ok(reply),
         }
@@ -224,12 +224,12 @@
     }
 
     /// Answers that named an older era than the one known, or none that could be read.
-    pub fn odd_eras(&self) -> u64 {
+    pub fn rejected_eras(&self) -> u64 {
         self.odd.get()
     }
 
     /// Takes an era over that another router has heard of. After a fall, other routers may still know the higher one.
-    pub fn learn(&self, era: Era) {
+    pub fn adopt_era(&self, era: Era) {
         let fell = self.fell.get().is_some_and(|at| at.elapsed() < FALLEN_FOR);
         if era > self.era.get() && !fell {
             self.begin(era);
@@ -244,7 +244,7 @@
             let since = self.older.get().unwrap_or_else(Instant::now);
             self.older.set(Some(since));
             if since.elapsed() < FALLEN {
-                return Err(Fault::Past);
+                return Err(Fault::Stale);
             }
             log::warn!("gateway: the store's era has fallen from {known} to {era}");
             self.fell.set(Some(Instant::now()));
@@ -288,12 +288,12 @@
     }
 
     /// Calls made so far, by kind.
-    pub fn made(&self) -> Vec<(&'static str, u64)> {
+    pub fn call_counts(&self) -> Vec<(&'static str, u64)> {
         self.made.borrow().clone()
     }
 
     /// Calls so far that had no useful answer, by their kind and the fault's.
-    pub fn failed(&self) -> Vec<((&'static str, &'static str), u64)> {
+    pub fn fault_counts(&self) -> Vec<((&'static str, &'static str), u64)> {
         self.failed.borrow().clone()
     }
 }
--- a/crates/gateway/src/store/fault.rs
+++ b/crates/gateway/src/store/fault.rs
@@ -17,7 +17,7 @@
     },
     /// Another router says that the store does not answer it; nothing was asked.
     #[display("the router that reads the store has no answer")]
-    Told,
+    SourceCutOff,
     /// Turned away; nothing was done.
     #[display("the store turned the call away with status {_0}")]
     Refused(#[error(not(source))] u16),
@@ -26,13 +26,13 @@
     Gone,
     /// The log does not end where it was said to; nothing was done.
     #[display("the log has grown meanwhile, end={end:?}")]
-    Moved {
+    EndMismatch {
         /// Where it ends, if the store says so.
         end: Option<Offset>,
     },
     /// The call or its answer is of before the store was restored.
     #[display("the store was restored meanwhile, or the answer is of an older era")]
-    Past,
+    Stale,
     /// The answer can't be read.
     #[display("unreadable answer of the store: {_0}")]
     Unreadable(#[error(not(source))] String),
@@ -43,14 +43,14 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Fault::Silent { .. } => "silent",
-            Fault::Told => "told",
+            Fault::SourceCutOff => "told",
             Fault::Refused(429) => "too_many_calls",
             Fault::Refused(503) => "unavailable",
             Fault::Refused(507) => "out_of_space",
             Fault::Refused(_) => "refused",
             Fault::Gone => "gone",
-            Fault::Moved { .. } => "moved",
-            Fault::Past => "past",
+            Fault::EndMismatch { .. } => "moved",
+            Fault::Stale => "past",
             Fault::Unreadable(_) => "unreadable",
         }
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -293,7 +293,7 @@
             Next::End => {
                 progress.state.metrics.streamed(progress.call.came.elapsed());
                 crash::completed(progress.state, progress.call);
-                progress.state.note_lasting(progress.call.came.elapsed());
+                progress.state.record_stream_duration(progress.call.came.elapsed());
                 return source.answer.done();
             }
             Next::Silent(why) => {
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -242,10 +242,10 @@
         let now = self.state.now();
         limited::ask(self.state, self.service, |peer| route::begins(peer, now)).await;
         let path = self.path();
-        if path.is_some() || self.last.is_some() || self.state.placeless.get() >= WAITING {
+        if path.is_some() || self.last.is_some() || self.state.unplaced_requests.get() >= WAITING {
             return path;
         }
-        let _waits = Counted::new(&self.state.placeless);
+        let _waits = Counted::new(&self.state.unplaced_requests);
         loop {
             let path = self.path();
             let late = Instant::now() + AGAIN >= until;
@@ -287,7 +287,7 @@
     /// Servers that are not asked again, and those that have just broken off a run of any request.
     fn but_breaking(&self) -> Vec<String> {
         let now = self.state.now();
-        let peers = self.state.of(self.service);
+        let peers = self.state.peers_of(self.service);
         let broke = peers.iter().filter(|p| p.has_broken(now)).map(|p| p.server().id.clone());
         self.but.iter().cloned().chain(broke).collect()
     }
@@ -314,7 +314,7 @@
                     tokio::select! {
                         outcome = &mut sending => break outcome,
                         () = tokio::time::sleep_until(until) => {}
-                        () = self.state.lost.notified() => {}
+                        () = self.state.server_suspected.notified() => {}
                     }
                 }
                 let due = Instant::now() >= until;
@@ -422,7 +422,7 @@
 
     /// A path declined the request: some part of it is dead, leaving, full or has other layers.
     fn declined(&mut self, first: &str, status: StatusCode, culprit: Option<std::net::SocketAddr>) {
-        let culprit = culprit.and_then(|address| self.state.at(address));
+        let culprit = culprit.and_then(|address| self.state.peer_at(address));
         log::info!(
             "gateway: request={} first={first} declined status={status} culprit={:?} new={} believed={}",
             self.call.id,
--- a/crates/gateway/src/stream/run.rs
+++ b/crates/gateway/src/stream/run.rs
@@ -41,7 +41,7 @@
     /// Whether something that may have run may run on another path. Runs on servers that have ended do not count.
     pub(super) async fn may_run_again(&self) -> bool {
         let attempts = self.call.route.attempts as usize;
-        match self.call.route.class.repeatable() {
+        match self.call.route.class.is_retryable() {
             true if self.runs.len() >= attempts => self.runs.len() - self.ended().await < attempts,
             repeatable => repeatable,
         }
--- a/crates/gateway/src/stream/watch.rs
+++ b/crates/gateway/src/stream/watch.rs
@@ -31,7 +31,7 @@
             let due = source.since + wait;
             let came = tokio::select! {
                 came = timeout_at(due, source.event(last, until)) => came,
-                () = self.state.lost.notified() => {
+                () = self.state.server_suspected.notified() => {
                     let overdue = source.pause.mul_f64(OVERDUE);
                     match source.path.is_lost(self.state.now()) {
                         true if source.since.elapsed() >= overdue => return Next::Silent(NO_ANSWER),
@@ -113,7 +113,7 @@
         // A server may answer us and yet not be reached by the one before it.
         let stalled =
             path.first().stalled.borrow().iter().find(|s| s.request == self.call.id).cloned();
-        let waited_for = stalled.and_then(|s| self.state.at(s.address));
+        let waited_for = stalled.and_then(|s| self.state.peer_at(s.address));
         let waited_for = waited_for.filter(|p| path.peers.iter().any(|q| Rc::ptr_eq(p, q)));
         if let Some(peer) = &waited_for {
             self.suspect(peer, "a request waits for it");
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -35,7 +35,7 @@
     let key = |key: &str| Key { key: key.to_owned(), workspace: "w".to_owned(), rank: None };
     let limits = Limits { head: 1, body: 1, head_time: Duration::ZERO, idle: Duration::ZERO };
     let keys = vec![key("k2"), key("k1")];
-    Settings { version: 1, routes, services: Vec::new(), keys, keyed: true, limits }.sorted()
+    Settings { version: 1, routes, services: Vec::new(), keys, requires_key: true, limits }.sorted()
 }
 
 #[rstest]
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,6 +1,6 @@
 //! What the store answers, and what the client makes of it.
 
-use gateway::store::{Answer, Call, Client, End, Era, Fault, Log, Reply, Told};
+use gateway::store::{Answer, Call, Client, End, Era, Fault, Log, Reply, ReportedEra};
 use rstest::rstest;
 
 /// A store that takes each append and names one era after the other.
@@ -8,7 +8,7 @@
     let answers = std::cell::Cell::new(0);
     Client::new(move |_| {
         let era = eras[answers.replace(answers.get() + 1)];
-        async move { Answer { reply: Ok(Reply::Appended(8)), era: Told::Era(era) } }
+        async move { Answer { reply: Ok(Reply::Appended(8)), era: ReportedEra::Era(era) } }
     })
 }
 
@@ -32,8 +32,8 @@
 /// The log of a restored store happens to end where a call says, and the call counts as if nothing had been lost.
 #[rstest]
 #[case::same_era(&[1, 1], 1, Ok(Reply::Appended(8)))]
-#[case::restored_meanwhile(&[1, 2], 1, Err(Fault::Past))]
-#[case::restored_before(&[2], 1, Err(Fault::Past))]
+#[case::restored_meanwhile(&[1, 2], 1, Err(Fault::Stale))]
+#[case::restored_before(&[2], 1, Err(Fault::Stale))]
 fn an_append_counts_in_the_era_of_its_offset_only(
     #[case] eras: &'static [Era],
     #[case] era: Era,
