--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -147,7 +147,7 @@
     /// another one, or the store is away.
     fn is_calm(&self) -> bool {
         let state = &self.state;
-        let idle = !self.first && shared_read::follows_source(state);
+        let idle = !self.first && shared_read::has_source(state);
         self.term.is_none() && (idle || state.store_unavailable())
     }
 
--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -244,7 +244,7 @@
 }
 
 /// Whether this router hears from another one.
-pub fn follows_source(state: &State) -> bool {
+pub fn has_source(state: &State) -> bool {
     let recently = |at: Duration| state.now() < at + GRACE;
     !state.sharing.store_unavailable.get()
         && source(state) != Source::Store
@@ -286,7 +286,7 @@
     from: Offset,
 ) -> Option<(Vec<LogRecord>, Offset)> {
     renew(state);
-    if !follows_source(state) {
+    if !has_source(state) {
         return None;
     }
     let (records, end) = state.sharing.records_from(log, from)?;
@@ -294,7 +294,7 @@
         return Some((records, end));
     }
     let _ = timeout(LOOK, state.sharing.news.notified()).await;
-    state.sharing.records_from(log, from).filter(|_| follows_source(state))
+    state.sharing.records_from(log, from).filter(|_| has_source(state))
 }
 
 /// Keeps what was read from the store for the others; `worth` says which records tell something new.
--- a/crates/gateway/src/shared_read/view.rs
+++ b/crates/gateway/src/shared_read/view.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{follows_source, position};
+use super::{has_source, position};
 use crate::server::Server;
 use crate::state::State;
 use crate::store::{Log, Offset};
@@ -65,11 +65,9 @@
 }
 
 fn compare_with_source(state: &State) {
-    let Some(source) = state.sharing.source_view.get().filter(|_| follows_source(state)) else {
-        return;
-    };
+    let Some(view) = state.sharing.source_view.get().filter(|_| has_source(state)) else { return };
     let (now, dispute) = (state.now(), &state.sharing.dispute);
-    match (differ(state, source), dispute.get()) {
+    match (differ(state, view), dispute.get()) {
         (None, _) => {}
         (Some(false), _) => dispute.set(None),
         (Some(true), Some(at)) if now < at + ASKED_FIRST || !may_read(state) => {}
@@ -77,7 +75,7 @@
         (Some(true), None) => {
             state.metrics.list_differs();
             let own = state.sharing.view.get();
-            log::warn!("gateway: list differs from source={source:?} own={own:?}");
+            log::warn!("gateway: list differs from source={view:?} own={own:?}");
             dispute.set(Some(now));
         }
     }
