--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -1,9 +1,10 @@
-//! One router at a time orders the model servers to hold layers.
+//! Issues orders to hold layers to the model servers, from one router at a time.
 //!
-//! The router that holds the first seat of the group gives orders, under a term that begins with a record in a log. It
-//! writes orders down there before it gives them, each time on condition that nobody else has added anything since: one that
-//! was paused or cut off, and does not know that another term has begun, is refused and gives none. Each order names the
-//! number of orders that the server has accepted before, so an order of the past that is carried out late changes nothing.
+//! The router that holds the first partition of the group is the leader. It issues orders under a term, which begins
+//! with a record in the log of orders. It appends orders to that log before it sends them, each time on condition that
+//! no other record was added since. A router that was paused or cut off and does not know that another term has begun
+//! therefore fails to append and sends no order. Each order names the number of orders that the server has accepted
+//! before, so an outdated order that arrives late has no effect.
 
 mod gap;
 mod order;
@@ -19,184 +20,190 @@
 use crate::shared_read;
 use crate::state::State;
 use crate::store::{Assignment, Call, Fault, Generation, Offset};
-use order::{Given, Planned};
+use order::{Issued, Planned};
 use term::Term;
 
-/// Time between two calls that keep the first seat, or any while no other router tells of changes: two may be lost.
-const KEEP: Duration = Duration::from_millis(650);
+/// Time between two join calls that keep the first partition, or any partition while no other router forwards changes
+/// of the group. Two calls in a row may be lost.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(650);
 
-/// The same for a router that hears of changes from another one, and then asks at once.
-const CALM_KEEP: Duration = Duration::from_millis(1500);
+/// Time between two join calls of a router that learns of changes from another one and then joins at once.
+const IDLE_RENEWAL_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Time until the seat is kept again after a change of the group: its new holder hears of it that much sooner
-/// than by [`KEEP`], at a tenth of a call for each router and change.
-const HAND_OVER: Duration = Duration::from_millis(150);
+/// Time until the next join call after a change of the group. The new holder of a partition learns of it that much
+/// sooner than by [`RENEWAL_INTERVAL`], at a tenth of a call for each router and change.
+const REBALANCE_RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Answers of the same generation after which seats have been dealt out: a router gives seats up
+/// Answers in a row with the same generation after which partitions have been reassigned: a router gives partitions up
 /// with its next call after a change.
-const STEADY: u32 = 2;
+const MIN_STABLE_ANSWERS: u32 = 2;
 
-/// Time between two looks at what is missing.
-const LOOK: Duration = Duration::from_millis(150);
+/// Time between two checks for missing layers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Time for which the list of servers must not have grown before the first orders of a fleet.
-const SETTLED: Duration = Duration::from_millis(1300);
+/// Time for which the list of servers must not have grown before a new fleet gets its first orders.
+const FLEET_SETTLE_TIME: Duration = Duration::from_millis(1300);
 
-/// Time between two visits to model servers. Servers are slow for some seconds at least; a visit
-/// is as dear as a heartbeat of each.
-const VISIT: Duration = Duration::from_millis(1000);
+/// Time between two surveys of model servers. Servers stay slow for some seconds at least; a survey costs as much as a
+/// heartbeat of each server.
+const SURVEY_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Joins in a row for one term. The first one may find that the log of orders has grown, and then has to ask again.
-const TRIES: usize = 3;
+/// Join calls in a row to begin one term. The first one may find that the log of orders has grown, and the router has to
+/// join again.
+const MAX_JOIN_ATTEMPTS: usize = 3;
 
-/// What a router knows of its right to give orders, and of those it gave.
+/// State of the orders and of this router's right to issue them.
 struct Leader {
     state: Rc<State>,
     /// Generation of the group in the last answer.
     generation: Generation,
     /// Answers in a row with that generation.
-    steady: u32,
-    /// When the seat was last asked for.
-    kept: Option<Duration>,
-    /// Whether the last call had no answer.
-    failed: bool,
-    /// Whether this router held the first seat in the last answer.
-    first: bool,
-    /// The right to give orders, while this router has it.
+    stable_answers: u32,
+    /// When the last join call was sent.
+    last_join: Option<Duration>,
+    /// Whether the last join call had no answer.
+    last_join_failed: bool,
+    /// Whether this router held the first partition in the last answer.
+    holds_first: bool,
+    /// The current term, while this router has one.
     term: Option<Term>,
-    /// Where the log of orders ended when that was last heard.
+    /// End of the log of orders as last reported by the store.
     end: Offset,
-    given: Vec<Given>,
-    /// Orders that are still to be given.
+    issued: Vec<Issued>,
+    /// Orders that are still to be sent.
     planned: Vec<Planned>,
-    /// Most servers that were on the list, and since when.
-    grown: (usize, Duration),
-    /// When model servers were last asked for their state.
-    visited: Duration,
-    /// Position of the first one that is asked next.
-    turn: usize,
+    /// Largest number of servers listed so far, and since when.
+    most_servers: (usize, Duration),
+    /// When model servers were last surveyed.
+    last_survey: Duration,
+    /// Index of the first server of the next survey.
+    next_server: usize,
 }
 
-/// Holds a seat and gives orders while it is the first one.
+/// Keeps a partition of the group and issues orders while that includes the first one.
 pub async fn run(state: Rc<State>) {
     let now = state.now();
     let mut leader = Leader {
         generation: 0,
-        steady: 0,
-        kept: None,
-        failed: false,
-        first: false,
+        stable_answers: 0,
+        last_join: None,
+        last_join_failed: false,
+        holds_first: false,
         term: None,
         end: 0,
-        given: Vec::new(),
+        issued: Vec::new(),
         planned: Vec::new(),
-        grown: (0, now),
-        visited: now,
-        turn: 0,
+        most_servers: (0, now),
+        last_survey: now,
+        next_server: 0,
         state,
     };
     loop {
-        // A router that stops gives its seat up, see `shutdown`.
-        if leader.state.stopping.get().is_none() && !leader.is_out() {
-            leader.keep_seat().await;
-            leader.act().await;
+        // A router that stops leaves the group, see `shutdown`.
+        if leader.state.stopping.get().is_none() && !leader.has_left() {
+            leader.keep_partition().await;
+            leader.manage_servers().await;
         }
         let state = &leader.state;
-        state.is_leader.set(leader.term.is_some_and(|term| term.lasts()));
-        let _ = tokio::time::timeout(LOOK, state.changed.notified()).await;
-        sleep(LOOK / 5).await;
+        state.is_leader.set(leader.term.is_some_and(|term| term.is_valid()));
+        let _ = tokio::time::timeout(CHECK_INTERVAL, state.changed.notified()).await;
+        sleep(CHECK_INTERVAL / 5).await;
     }
 }
 
-/// Time between two calls that keep a seat.
-fn pause(calm: bool) -> Duration {
-    if calm { CALM_KEEP } else { KEEP }
+/// Time between two join calls.
+fn pause(idle: bool) -> Duration {
+    if idle { IDLE_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL }
 }
 
 impl Leader {
-    /// Asks for the seat again when it is time, and begins or ends a term by the answer.
-    async fn keep_seat(&mut self) {
-        if !self.is_due() {
+    /// Joins the group again when that is due, and begins or ends a term according to the answer.
+    async fn keep_partition(&mut self) {
+        if !self.is_join_due() {
             return;
         }
-        for _ in 0..TRIES {
-            let Some((seat, until)) = self.join().await else { return };
-            match self.renew(seat, until).await {
-                // Whoever added to the log may hold the seat by now: it is asked for again before the next try.
-                Err(Fault::EndMismatch { end: Some(end) }) if !self.is_out() => self.end = end,
+        for _ in 0..MAX_JOIN_ATTEMPTS {
+            let Some((assignment, until)) = self.join().await else { return };
+            match self.update_term(assignment, until).await {
+                // Another router that appended to the log may hold the first partition by now, so this one joins again
+                // before it retries.
+                Err(Fault::EndMismatch { end: Some(end) }) if !self.has_left() => self.end = end,
                 Ok(()) | Err(_) => return,
             }
         }
     }
 
-    /// Whether it has given the seat up a moment ago.
-    fn is_out(&self) -> bool {
+    /// Whether this router has left the group a moment ago.
+    fn has_left(&self) -> bool {
         self.state.tenure.borrow().is_out(self.state.now())
     }
 
-    fn is_due(&self) -> bool {
+    fn is_join_due(&self) -> bool {
         let (now, state) = (self.state.now(), &self.state);
-        let pause = pause(self.is_calm());
-        let heard = state.sharing.generation() > self.generation
-            || self.kept.is_some_and(|kept| kept < state.store_regained_at());
-        let wait = if heard && !self.failed { HAND_OVER } else { pause };
-        shared_read::is_store_check_due(state) || self.kept.is_none_or(|kept| now >= kept + wait)
+        let pause = pause(self.is_idle());
+        let changed = state.sharing.generation() > self.generation
+            || self.last_join.is_some_and(|joined| joined < state.store_regained_at());
+        let wait =
+            if changed && !self.last_join_failed { REBALANCE_RENEWAL_INTERVAL } else { pause };
+        shared_read::is_store_check_due(state)
+            || self.last_join.is_none_or(|joined| now >= joined + wait)
     }
 
-    /// Whether nothing waits for the next answer: this router has no part in giving orders and hears of changes from
-    /// another one, or the store is away.
-    fn is_calm(&self) -> bool {
+    /// Whether no decision waits for the next answer: this router is not the leader and learns of changes from another
+    /// router, or the store is unavailable.
+    fn is_idle(&self) -> bool {
         let state = &self.state;
-        let idle = !self.first && shared_read::has_source(state);
-        self.term.is_none() && (idle || state.store_unavailable())
+        let follows = !self.holds_first && shared_read::has_source(state);
+        self.term.is_none() && (follows || state.store_unavailable())
     }
 
-    /// Asks for the seat; the answer, and until when a term under it lasts.
+    /// Joins the group; returns the assignment, and until when a term under it is valid.
     async fn join(&mut self) -> Option<(Assignment, Duration)> {
-        let (now, calm) = (self.state.now(), self.is_calm());
-        self.kept = Some(now);
-        let (seat, until) = match term::keep(&self.state, self.generation, calm).await {
-            Ok(kept) => kept,
+        let (now, idle) = (self.state.now(), self.is_idle());
+        self.last_join = Some(now);
+        let (assignment, until) = match term::join(&self.state, self.generation, idle).await {
+            Ok(joined) => joined,
             Err(e) => {
                 shared_read::record_store_silence(&self.state);
                 self.state.tenure.borrow_mut().ends();
-                self.failed = true;
-                log::debug!("gateway: seat not kept: {e}");
+                self.last_join_failed = true;
+                log::debug!("gateway: joining the group failed: {e}");
                 return None;
             }
         };
-        self.failed = false;
+        self.last_join_failed = false;
         shared_read::record_store_answer(&self.state, now);
-        self.steady = if seat.generation == self.generation { self.steady + 1 } else { 0 };
-        self.generation = seat.generation;
-        self.first = seat.holds_first;
-        if self.steady == 0 {
-            // A seat that moves is free once its holder has joined with the new generation.
-            // Until then nobody gives orders, and what is lost stays lost.
-            self.kept = Some((now + HAND_OVER).saturating_sub(pause(calm)));
+        self.stable_answers =
+            if assignment.generation == self.generation { self.stable_answers + 1 } else { 0 };
+        self.generation = assignment.generation;
+        self.holds_first = assignment.holds_first;
+        if self.stable_answers == 0 {
+            // A partition that moves is free once its holder has joined with the new generation. Until then there is no
+            // leader, and missing layers stay missing.
+            self.last_join = Some((now + REBALANCE_RENEWAL_INTERVAL).saturating_sub(pause(idle)));
         }
-        self.state.sharing.record_assignment(seat);
-        // While seats change hands, a router may hold few of its own, or none.
-        if self.steady >= STEADY && seat.assigned > 0 {
+        self.state.sharing.record_assignment(assignment);
+        // During a rebalance, a router may hold few partitions, or none.
+        if self.stable_answers >= MIN_STABLE_ANSWERS && assignment.assigned > 0 {
             let before = self.state.routers();
-            self.state.count_routers((seat.total / seat.assigned).max(1));
+            self.state.count_routers((assignment.total / assignment.assigned).max(1));
             let routers = self.state.routers();
             if routers != before {
                 log::info!(
                     "gateway: routers={routers} before={before} seats={} generation={}",
-                    seat.assigned,
-                    seat.generation
+                    assignment.assigned,
+                    assignment.generation
                 );
             }
         }
-        Some((seat, until))
+        Some((assignment, until))
     }
 
-    /// Goes on with a term, begins one, or ends it; why none was begun.
-    async fn renew(&mut self, seat: Assignment, until: Duration) -> Result<(), Fault> {
-        let (generation, era) = (seat.generation, self.state.store.era());
+    /// Extends, begins or ends a term; returns an error if none could be begun.
+    async fn update_term(&mut self, assignment: Assignment, until: Duration) -> Result<(), Fault> {
+        let (generation, era) = (assignment.generation, self.state.store.era());
         match self.term.filter(|term| term.end.era == era) {
-            _ if !seat.holds_first => {
+            _ if !assignment.holds_first => {
                 if self.term.take().is_some() {
                     log::info!("gateway: gives_orders=false generation={generation}");
                 }
@@ -205,39 +212,39 @@
             Some(term) => self.term = Some(Term { until, ..term }),
             None => {
                 self.term = None;
-                let term = match term::begin(&self.state, seat, until, self.end).await {
+                let term = match term::begin(&self.state, assignment, until, self.end).await {
                     Ok(term) => term,
                     Err(fault) => {
                         log::info!("gateway: gives_orders=false epoch={generation} why={fault}");
-                        self.note_failure().await;
+                        self.record_failure().await;
                         return Err(fault);
                     }
                 };
                 log::info!("gateway: gives_orders=true epoch={generation} end={}", term.end.offset);
                 (self.term, self.end) = (Some(term), term.end.offset);
-                self.given = order::inherit(&self.state, term.end).await;
+                self.issued = order::inherit(&self.state, term.end).await;
                 self.planned.clear();
             }
         }
         Ok(())
     }
 
-    /// Looks after the model servers while this router has the right to.
-    async fn act(&mut self) {
+    /// Surveys the model servers and issues orders while this router has a valid term.
+    async fn manage_servers(&mut self) {
         let count = self.state.peers().len();
-        if count > self.grown.0 {
-            self.grown = (count, self.state.now());
+        if count > self.most_servers.0 {
+            self.most_servers = (count, self.state.now());
         }
-        let Some(mut term) = self.term.filter(Term::lasts) else { return };
-        if self.state.now() >= self.visited + VISIT {
-            self.visited = self.state.now();
-            // Beside what follows: a dead server that is asked twice for 0.6 s would hold up all orders,
-            // just when layers are missing.
-            let (state, from) = (self.state.clone(), self.turn);
-            self.turn = self.turn.wrapping_add(survey::AT_ONCE);
-            spawn_local(async move { survey::visit(&state, from).await });
+        let Some(mut term) = self.term.filter(Term::is_valid) else { return };
+        if self.state.now() >= self.last_survey + SURVEY_INTERVAL {
+            self.last_survey = self.state.now();
+            // Runs concurrently with what follows: a dead server that is probed twice for 0.6 s would delay all orders
+            // while layers are missing.
+            let (state, from) = (self.state.clone(), self.next_server);
+            self.next_server = self.next_server.wrapping_add(survey::MAX_CONCURRENT_PROBES);
+            spawn_local(async move { survey::survey(&state, from).await });
         }
-        self.term = match self.give(&mut term).await {
+        self.term = match self.plan_and_issue(&mut term).await {
             Ok(()) => {
                 self.state.tenure.borrow_mut().works();
                 Some(term)
@@ -248,52 +255,56 @@
                     "gateway: gives_orders=false epoch={} idle={idle:?} why={e}",
                     term.epoch
                 );
-                // The next term begins at once: it tells what became of the append.
-                self.kept = None;
+                // The next term begins at once; beginning it shows whether the append was carried out.
+                self.last_join = None;
                 self.end = match e {
                     Fault::EndMismatch { end: Some(end) } => end,
                     _ => term.end.offset,
                 };
-                self.note_failure().await;
+                self.record_failure().await;
                 None
             }
         };
     }
 
-    /// Notes that this router holds the first seat and could not give orders, and leaves the group if others may fare better.
-    async fn note_failure(&mut self) {
+    /// Records that this router holds the first partition and could not issue orders, and leaves the group if another
+    /// router may succeed.
+    async fn record_failure(&mut self) {
         let (state, now) = (&self.state, self.state.now());
         let others = state.sharing.members() > 1;
         if !state.tenure.borrow_mut().fails(now, others) {
             return;
         }
-        log::warn!("gateway: first seat given up generation={}", self.generation);
-        (self.first, self.steady) = (false, 0);
+        log::warn!(
+            "gateway: leaving the group: holds the first partition and can't issue orders generation={}",
+            self.generation
+        );
+        (self.holds_first, self.stable_answers) = (false, 0);
         let call = Call::Leave { member: state.member() };
         if let Err(e) = state.store.call(call).await {
-            log::info!("gateway: the group was not left: {e}");
+            log::info!("gateway: leaving the group failed: {e}");
         }
     }
 
-    /// Looks at what is missing and orders it.
-    async fn give(&mut self, term: &mut Term) -> Result<(), Fault> {
+    /// Plans orders for missing layers and issues them.
+    async fn plan_and_issue(&mut self, term: &mut Term) -> Result<(), Fault> {
         let state = &self.state;
-        let settled = state.now() > self.grown.1 + SETTLED;
+        let settled = state.now() > self.most_servers.1 + FLEET_SETTLE_TIME;
         let Some(settings) = state.settings() else { return Ok(()) };
         for service in &settings.services {
             let Some(model) = &service.model else { continue };
             let peers = state.peers_of(&service.name);
-            order::check(state, &peers, &mut self.given).await;
-            survey::ask_doubted(state, &peers).await;
+            order::update(state, &peers, &mut self.issued).await;
+            survey::recheck_suspects(state, &peers).await;
             let first = peers.iter().all(|p| p.span(state.now()).is_empty());
             if first && !settled {
                 continue;
             }
-            let plan = gap::plan(state, &peers, model, &self.given, &self.planned);
+            let plan = gap::plan(state, &peers, model, &self.issued, &self.planned);
             self.planned.extend(plan);
-            let orders = order::next(state, &service.name, &mut self.planned);
+            let orders = order::next_batch(state, &service.name, &mut self.planned);
             if !orders.is_empty() {
-                order::carry_out(state, term, model, orders, &mut self.given).await?;
+                order::issue(state, term, model, orders, &mut self.issued).await?;
             }
         }
         Ok(())
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -1,4 +1,4 @@
-//! Which layers the data centres lack, and what placement would have the servers hold.
+//! Finds the layers that data centres lack, and plans which servers hold them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,50 +7,49 @@
 use layers::server::{Index, Zone};
 use layers::{Card, Shape, Span};
 
-use super::order::{Given, Planned};
+use super::order::{Issued, Planned};
 use crate::peer::Peer;
 use crate::route;
 use crate::server::{self, Server};
 use crate::settings::Model;
 use crate::state::State;
 
-/// Factor on the time of its steps from which on a server's layers are loaded elsewhere too. It then reads
-/// fewer prompts than its data centre gets. At 2, servers three times slower move reserves that the next loss
-/// would need: 0.624 in place of 0.636 mean worth on the larger deployment of one user.
-const STAND_IN: f64 = 6.0;
+/// Slowdown of a server, as a factor on the time of its steps, from which on its layers are loaded elsewhere too. A
+/// slow server reads fewer prompts than its data centre gets. With 2, servers that are three times slower use up
+/// reserves that the next loss would need: 0.624 instead of 0.636 mean worth on the larger deployment of one user.
+const MAX_SLOWDOWN: f64 = 6.0;
 
-/// Time in which a crashed server comes back, from the runs of both deployments: two to four and
-/// a half seconds.
-const RETURN: Duration = Duration::from_secs(5);
+/// Time in which a crashed server comes back: two to four and a half seconds in the runs of both deployments.
+const RESTART_TIME: Duration = Duration::from_secs(5);
 
-/// Part of the servers that must answer for a silent one to count as dead. If most are silent, it
-/// is this router that is cut off.
-const REACHED: f64 = 0.6;
+/// Part of the servers that must answer for a silent one to count as dead. If most are silent, this router itself is
+/// cut off.
+const MIN_REACHABLE_RATIO: f64 = 0.6;
 
-/// What one data centre lacks.
+/// Layers that one data centre lacks.
 struct Gap {
     data_centre: String,
-    /// Servers that may be used.
+    /// Number of usable servers.
     usable: usize,
-    /// Layers that nobody holds or loads there.
+    /// Layers that no server there holds or loads.
     missing: Vec<Span>,
 }
 
-/// What placement would have servers hold that they do not.
+/// Plans layers for servers that do not hold them yet.
 pub(super) fn plan(
     state: &State,
     peers: &[Rc<Peer>],
     model: &Model,
-    given: &[Given],
+    issued: &[Issued],
     planned: &[Planned],
 ) -> Vec<Planned> {
     let now = state.now();
-    let given = given.iter().map(|g| (g.server.as_str(), g.span));
+    let issued = issued.iter().map(|g| (g.server.as_str(), g.span));
     let planned = planned.iter().map(|p| (p.server.as_str(), p.span));
-    let mut ordered: Vec<(&str, Span)> = given.chain(planned).collect();
+    let mut ordered: Vec<(&str, Span)> = issued.chain(planned).collect();
     ordered.sort_unstable();
     let silent = peers.iter().filter(|p| p.counts_as_dead()).count() as f64;
-    let reached = silent <= peers.len() as f64 * (1.0 - REACHED);
+    let reachable = silent <= peers.len() as f64 * (1.0 - MIN_REACHABLE_RATIO);
     let server = |peer: &Rc<Peer>| {
         let entry = peer.server();
         let found = ordered.binary_search_by_key(&entry.id.as_str(), |(server, _)| server);
@@ -60,18 +59,18 @@
             zone: route::zone(&entry.zone),
             card: card.unwrap_or(Card { bytes: 0.0, pace: f64::MAX, read: 1.0 }),
             span: order.unwrap_or(peer.span(now)),
-            usable: card.is_some() && peer.ready() && (!reached || !peer.counts_as_dead()),
+            usable: card.is_some() && peer.ready() && (!reachable || !peer.counts_as_dead()),
             busy: order.is_some(),
-            slow: peer.slow.get() > STAND_IN,
+            slow: peer.slow.get() > MAX_SLOWDOWN,
         }
     };
     let servers: Vec<layers::Server> = peers.iter().map(server).collect();
     let gaps = gaps(peers, &servers, &model.shape);
-    say(state, &gaps);
-    let lasting = lasting(state, &gaps) > RETURN;
+    log_gaps(state, &gaps);
+    let lasting = gap_duration(state, &gaps) > RESTART_TIME;
     let places = placement::plan(&servers, &model.shape, lasting);
     let age = |server: Index| now.saturating_sub(peers[server].since());
-    let lost = |zone: Zone| lost(state, peers, zone);
+    let lost = |zone: Zone| recent_losses(state, peers, zone);
     let places = placement::keep_started(places, &servers, &model.shape, age, lost);
     let planned = |place: &Place| Planned {
         server: peers[place.server].server().id.clone(),
@@ -80,17 +79,17 @@
     places.iter().map(planned).collect()
 }
 
-/// How long ago a data centre lost servers of a model without word that they leave. One that is silent and still listed may have been
-/// lost at any time; it counts for those that have just started.
-fn lost(state: &State, peers: &[Rc<Peer>], zone: Zone) -> Vec<Duration> {
-    let was_here = |server: &Server| server.card.is_some() && route::zone(&server.zone) == zone;
+/// Returns how long ago a data centre lost model servers that had not announced to leave. A server that is silent and
+/// still listed may have been lost at any time; it counts for servers that have just started.
+fn recent_losses(state: &State, peers: &[Rc<Peer>], zone: Zone) -> Vec<Duration> {
+    let is_local = |server: &Server| server.card.is_some() && route::zone(&server.zone) == zone;
     let gone = state.removed_within(RETURNS).into_iter();
-    let gone = gone.filter(|(s, _)| was_here(s) && s.state == server::State::Ready);
-    let silent = peers.iter().filter(|p| p.counts_as_dead() && was_here(&p.server()));
+    let gone = gone.filter(|(s, _)| is_local(s) && s.state == server::State::Ready);
+    let silent = peers.iter().filter(|p| p.counts_as_dead() && is_local(&p.server()));
     gone.map(|(_, ago)| ago).chain(silent.map(|_| STARTED)).collect()
 }
 
-/// What each data centre lacks, by name.
+/// Gaps of each data centre, by name.
 fn gaps(peers: &[Rc<Peer>], servers: &[layers::Server], shape: &Shape) -> Vec<Gap> {
     let mut names: Vec<String> = peers.iter().map(|p| p.server().zone.clone()).collect();
     names.sort();
@@ -103,8 +102,8 @@
     names.into_iter().map(gap).collect()
 }
 
-/// How long some data centre has lacked layers that nobody is loading.
-fn lasting(state: &State, gaps: &[Gap]) -> Duration {
+/// Returns how long some data centre has lacked layers that no server is loading.
+fn gap_duration(state: &State, gaps: &[Gap]) -> Duration {
     let whole = gaps.iter().all(|gap| gap.missing.is_empty());
     match (whole, state.layers_missing_since.get()) {
         (true, _) => state.layers_missing_since.set(None),
@@ -117,8 +116,8 @@
         .map_or(Duration::ZERO, |since| state.now().saturating_sub(since))
 }
 
-/// Says which layers each data centre lacks, when that has changed.
-fn say(state: &State, gaps: &[Gap]) {
+/// Logs the layers that each data centre lacks, when they have changed.
+fn log_gaps(state: &State, gaps: &[Gap]) {
     let lacks = gaps.iter().map(|gap| {
         let missing: Vec<String> = gap.missing.iter().map(Span::to_string).collect();
         format!("{}: servers={} missing=[{}]", gap.data_centre, gap.usable, missing.join(" "))
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -1,4 +1,4 @@
-//! Orders to hold layers: written down, given, and looked after until they are done.
+//! Orders to hold layers: recorded, sent, and tracked until they are done.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,43 +17,41 @@
 use crate::store::{Call, End, Fault, Log, Offset, Reply};
 use crate::wire::Order;
 
-/// Longest time an order may take before it counts as failed, as a multiple of the time to load its
-/// layers alone.
-const SLOW: f64 = 4.0;
+/// Longest time an order may take before it counts as failed, as a multiple of the time to load only its layers.
+const MAX_LOAD_TIME_FACTOR: f64 = 4.0;
 
-/// Time in which a server that got an order and does not answer counts as carrying it out.
-const LATE: Duration = Duration::from_millis(2500);
+/// Time for which a server that got an order and does not answer counts as carrying it out.
+const ANSWER_GRACE: Duration = Duration::from_millis(2500);
 
-/// Orders that are given at once. Each is two exchanges over new connections, some six milliseconds of the
-/// smallest VM; a thousand at once take longer than servers get to answer, and the router then takes
-/// live servers for dead, and tells all others so.
-const AT_ONCE: usize = 40;
+/// Orders that are sent at once. Each is two exchanges over new connections, which take some six milliseconds of the
+/// smallest VM. A thousand at once take longer than the time limit for servers to answer; the router would then treat
+/// live servers as dead and report them to all others.
+const MAX_CONCURRENT_ORDERS: usize = 40;
 
-/// Time after which a server's report shows an order that it has accepted. If it shows none, the
-/// order was lost; should it arrive yet, it names a number of accepted orders that is past by
-/// then, or it is just the order that is given again.
-const SHOWN: Duration = Duration::from_millis(700);
+/// Time after which a server's report shows an order that it has accepted. If it shows none, the order was lost. An
+/// order that arrives even later names an outdated number of accepted orders, or is the same order that is sent again.
+const REPORT_DELAY: Duration = Duration::from_millis(700);
 
-/// Records of terms before that a router reads which takes over: a whole batch, and first records of some terms.
-const INHERITED: Offset = 48;
+/// Records of former terms that the next leader reads: a whole batch, and the first records of some terms.
+const INHERITED_RECORDS: Offset = 48;
 
-/// An order that was given and is not known to be done.
+/// An order that was sent and is not known to be done.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) struct Given {
+pub(super) struct Issued {
     pub(super) server: String,
     pub(super) span: Span,
     sent: Duration,
     until: Duration,
 }
 
-/// An order that is still to be given.
+/// An order that is still to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) struct Planned {
     pub(super) server: Id,
     pub(super) span: Span,
 }
 
-/// What is written down before an order is given.
+/// Record that is appended to the log before an order is sent.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Record {
     server: String,
@@ -62,36 +60,36 @@
     after: u64,
 }
 
-/// Orders of the router before that may still be under way. They count as given, so that no
-/// server gets the same order twice.
-pub(super) async fn inherit(state: &State, end: End) -> Vec<Given> {
-    let (from, era) = (end.offset.saturating_sub(INHERITED), end.era);
+/// Reads the orders of the previous leader that may still be in progress. They count as sent, so that no server gets
+/// the same order twice.
+pub(super) async fn inherit(state: &State, end: End) -> Vec<Issued> {
+    let (from, era) = (end.offset.saturating_sub(INHERITED_RECORDS), end.era);
     let call = Call::Read { log: Log::Orders, from, era, wait: Duration::ZERO };
     let records = match state.store.call(call).await {
         Ok(Reply::Records(records, _)) => records,
         other => {
-            log::info!("gateway: orders of the router before are not known: {other:?}");
+            log::info!("gateway: orders of the previous leader are not known: {other:?}");
             return Vec::new();
         }
     };
-    let (sent, until) = (state.now(), state.now() + LATE);
-    let mut given: Vec<Given> = Vec::new();
+    let (sent, until) = (state.now(), state.now() + ANSWER_GRACE);
+    let mut issued: Vec<Issued> = Vec::new();
     for record in records.iter().filter_map(|r| serde_json::from_slice::<Record>(r).ok()) {
-        given.retain(|g| g.server != record.server);
-        given.push(Given {
+        issued.retain(|g| g.server != record.server);
+        issued.push(Issued {
             server: record.server,
             span: Span::new(record.from, record.to),
             sent,
             until,
         });
     }
-    given.retain(|g| state.peer(&g.server).is_some_and(|p| p.span(state.now()) != g.span));
-    given
+    issued.retain(|g| state.peer(&g.server).is_some_and(|p| p.span(state.now()) != g.span));
+    issued
 }
 
-/// Takes the next orders out of those that are planned for a service's servers, and drops what is planned for
-/// servers that can't be used any more.
-pub(super) fn next(
+/// Takes the next batch of orders out of those that are planned for a service's servers, and drops those for servers
+/// that can't be used any more.
+pub(super) fn next_batch(
     state: &State,
     service: &str,
     planned: &mut Vec<Planned>,
@@ -100,7 +98,9 @@
     planned.retain(|plan| match state.peer(&plan.server) {
         None => false,
         Some(peer) if !peer.usable(state.now()) => false,
-        Some(peer) if peer.server().service != service || batch.len() >= AT_ONCE => true,
+        Some(peer) if peer.server().service != service || batch.len() >= MAX_CONCURRENT_ORDERS => {
+            true
+        }
         Some(peer) => {
             batch.push((plan.span, peer));
             false
@@ -109,15 +109,15 @@
     batch
 }
 
-/// Writes orders down and gives them.
-pub(super) async fn carry_out(
+/// Records orders in the log and sends them.
+pub(super) async fn issue(
     state: &Rc<State>,
     term: &mut Term,
     model: &Model,
     orders: Vec<(Span, Rc<Peer>)>,
-    given: &mut Vec<Given>,
+    issued: &mut Vec<Issued>,
 ) -> Result<(), Fault> {
-    // The number of orders accepted so far is asked of the server itself: its entry lags.
+    // The number of orders accepted so far comes from the server itself: its entry in the list lags.
     let asked = orders.into_iter().map(|(span, peer)| async move {
         (span, probe::report(state, &peer, probe::soon(state)).await, peer)
     });
@@ -127,8 +127,8 @@
         match report {
             Ok(report) if report.span == span => peer.learn(report.span, state.now()),
             Ok(report) if report.busy => {
-                let (sent, until) = (state.now(), state.now() + LATE);
-                given.push(Given {
+                let (sent, until) = (state.now(), state.now() + ANSWER_GRACE);
+                issued.push(Issued {
                     server: peer.server().id.clone(),
                     span: report.span,
                     sent,
@@ -142,13 +142,13 @@
     if ready.is_empty() {
         return Ok(());
     }
-    write_down(state, term, &ready).await?;
+    append_records(state, term, &ready).await?;
     let sent = ready.iter().map(|(span, after, peer)| send(state, term, peer, *span, *after));
     for ((span, _, peer), accepted) in ready.iter().zip(futures_util::future::join_all(sent).await)
     {
         if accepted {
-            let until = state.now() + patience(&model.shape, model.load_time, *span, ready.len());
-            given.push(Given {
+            let until = state.now() + time_limit(&model.shape, model.load_time, *span, ready.len());
+            issued.push(Issued {
                 server: peer.server().id.clone(),
                 span: *span,
                 sent: state.now(),
@@ -159,7 +159,7 @@
     Ok(())
 }
 
-async fn write_down(
+async fn append_records(
     state: &State,
     term: &mut Term,
     ready: &[(Span, u64, Rc<Peer>)],
@@ -170,7 +170,7 @@
         Bytes::from(serde_json::to_vec(&record).expect("plain fields"))
     };
     let records = ready.iter().map(record).collect();
-    term.write(state, records).await?;
+    term.append(state, records).await?;
     log::info!(
         "gateway: orders_written={} epoch={} end={}",
         ready.len(),
@@ -180,11 +180,11 @@
     Ok(())
 }
 
-/// Gives one order; whether it may be under way now.
+/// Sends one order; returns whether it may be in progress now.
 async fn send(state: &State, term: &Term, peer: &Rc<Peer>, span: Span, after: u64) -> bool {
     let id = peer.server().id.clone();
-    if !term.lasts() {
-        log::warn!("gateway: order not given server={id} layers={span} why=the term has ended");
+    if !term.is_valid() {
+        log::warn!("gateway: order not sent server={id} layers={span} why=the term has ended");
         return false;
     }
     state.metrics.ordered();
@@ -201,28 +201,28 @@
     }
 }
 
-/// How long an order may take.
-fn patience(shape: &Shape, load: Duration, span: Span, at_once: usize) -> Duration {
+/// Returns how long an order may take.
+fn time_limit(shape: &Shape, load: Duration, span: Span, at_once: usize) -> Duration {
     let alone = load.mul_f64(f64::from(span.len()) / f64::from(shape.layers));
-    alone.mul_f64(SLOW * (at_once as f64 / 6.0).max(1.0)) + LATE
+    alone.mul_f64(MAX_LOAD_TIME_FACTOR * (at_once as f64 / 6.0).max(1.0)) + ANSWER_GRACE
 }
 
-/// Asks a server for its state, unless it is suspected: what it was ordered is overdue some time, and
-/// the others' orders must not wait for it again and again.
-async fn ask(state: &State, peer: &Peer) -> Result<Report, String> {
+/// Asks a server for its report, unless it is suspected: its order is overdue for some time already, and the orders of
+/// other servers must not wait for it each time.
+async fn query(state: &State, peer: &Peer) -> Result<Report, String> {
     if peer.suspicion.borrow().holds(state.now()) {
         return Err("it is suspected".to_owned());
     }
     probe::report(state, peer, probe::soon(state)).await
 }
 
-/// Looks which orders are done, failed or overdue.
-pub(super) async fn check(state: &Rc<State>, peers: &[Rc<Peer>], given: &mut Vec<Given>) {
+/// Updates the orders that were sent: removes those that are done, failed or overdue.
+pub(super) async fn update(state: &Rc<State>, peers: &[Rc<Peer>], issued: &mut Vec<Issued>) {
     let now = state.now();
-    let open: Vec<Given> = given.clone();
+    let open: Vec<Issued> = issued.clone();
     let asked = open.iter().filter_map(|g| {
         let peer = peers.iter().find(|p| p.server().id == g.server)?.clone();
-        Some(async move { (g, ask(state, &peer).await, peer) })
+        Some(async move { (g, query(state, &peer).await, peer) })
     });
     for (order, report, peer) in futures_util::future::join_all(asked).await {
         let done = match report {
@@ -237,15 +237,15 @@
                 log::info!("gateway: order done server={} layers={}", order.server, order.span);
                 true
             }
-            Ok(report) => (!report.busy && now > order.sent + SHOWN) || now > order.until,
+            Ok(report) => (!report.busy && now > order.sent + REPORT_DELAY) || now > order.until,
             Err(why) => {
                 probe::suspect(state, &peer, &why);
                 now > order.until
             }
         };
         if done {
-            given.retain(|g| g.server != order.server);
+            issued.retain(|g| g.server != order.server);
         }
     }
-    given.retain(|g| peers.iter().any(|p| p.server().id == g.server));
+    issued.retain(|g| peers.iter().any(|p| p.server().id == g.server));
 }
--- a/crates/gateway/src/leader/term.rs
+++ b/crates/gateway/src/leader/term.rs
@@ -1,4 +1,4 @@
-//! The right to give orders, which one router of the group holds at a time.
+//! The right to issue orders, which one router of the group has at a time.
 
 use std::time::Duration;
 
@@ -9,45 +9,45 @@
 use crate::state::State;
 use crate::store::{Assignment, Call, End, Fault, Generation, Log, Offset, Reply};
 
-/// How long a seat lasts. A dead holder is replaced after this time; layers that it would have
-/// ordered meanwhile are missing.
-const TTL: Duration = Duration::from_millis(2000);
+/// How long a membership lasts without a further join call. A dead leader is replaced after this time; the layers that
+/// it would have ordered meanwhile are missing.
+const MEMBERSHIP_TTL: Duration = Duration::from_millis(2000);
 
-/// The same for a router that asks rarely, as it holds other seats only: nothing waits for those.
-const CALM_TTL: Duration = Duration::from_millis(4000);
+/// The same for an idle router, which joins rarely: it holds other partitions only, and nothing depends on those.
+const IDLE_MEMBERSHIP_TTL: Duration = Duration::from_millis(4000);
 
-/// Part of the seat's time in which orders are given. The rest is for the order to arrive.
-const SURE: f64 = 0.7;
+/// Part of the membership's time in which orders are sent. The rest is for the order to arrive.
+const USABLE_TTL_RATIO: f64 = 0.7;
 
-/// The right to give orders, from a record of its own in the log of orders on.
+/// The right to issue orders, which begins with its own record in the log of orders.
 ///
-/// Under a term, records are added only where the log ends as far as it is known: once another term has begun, also one of
-/// the same router, nothing more is taken under this one, whenever it arrives.
+/// Under a term, records are appended only where the log ends as far as this router knows. Once another term has begun,
+/// also one of the same router, the store refuses all later appends of this one, whenever they arrive.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Term {
-    /// Generation of the group in which it was gained, for log lines.
+    /// Generation of the group in which the term began, for log lines.
     pub(super) epoch: Generation,
-    /// Where the log of orders ends.
+    /// End of the log of orders.
     pub(super) end: End,
-    /// When it ends, by the clock that counts suspended time.
+    /// When the term ends, by the clock that counts suspended time.
     pub(super) until: Duration,
 }
 
 /// The first record of a term.
 #[derive(Debug, Serialize)]
-struct Began<'a> {
+struct TermRecord<'a> {
     epoch: Generation,
     vm: &'a str,
 }
 
 impl Term {
-    pub(super) fn lasts(&self) -> bool {
+    pub(super) fn is_valid(&self) -> bool {
         clock::boot() < self.until
     }
 
-    /// Adds records to the log of orders, if it ends where this term left it. A lost answer ends the term: the next one begins with
-    /// what the log then says.
-    pub(super) async fn write(&mut self, state: &State, records: Vec<Bytes>) -> Result<(), Fault> {
+    /// Appends records to the log of orders, if it ends where this term left it. A lost answer ends the term: the next
+    /// one begins at the end that the store then reports.
+    pub(super) async fn append(&mut self, state: &State, records: Vec<Bytes>) -> Result<(), Fault> {
         let call = Call::Append { log: Log::Orders, records, at: Some(self.end) };
         match state.store.call(call).await? {
             Reply::Appended(end) => self.end.offset = end,
@@ -57,19 +57,19 @@
     }
 }
 
-/// Asks for the seat; until when a term under it lasts.
-pub(super) async fn keep(
+/// Joins the group; returns the assignment, and until when a term under it is valid.
+pub(super) async fn join(
     state: &State,
     generation: Generation,
-    calm: bool,
+    idle: bool,
 ) -> Result<(Assignment, Duration), Fault> {
-    // The seat's time runs from the call's arrival, so counting from its sending is safe. The shorter time counts also
-    // for a call that asked for more: the next one shortens it.
-    let until = clock::boot() + TTL.mul_f64(SURE);
+    // The membership's time runs from the arrival of the call, so counting from its sending is safe. The shorter time
+    // also counts for a call that asked for the longer one: the next call shortens it.
+    let until = clock::boot() + MEMBERSHIP_TTL.mul_f64(USABLE_TTL_RATIO);
     let member = state.member();
-    let ttl = if calm { CALM_TTL } else { TTL };
+    let ttl = if idle { IDLE_MEMBERSHIP_TTL } else { MEMBERSHIP_TTL };
     match state.store.call(Call::Join { member, ttl, generation }).await? {
-        Reply::Joined(seat) => Ok((seat, until)),
+        Reply::Joined(assignment) => Ok((assignment, until)),
         other => Err(Fault::Unreadable(format!("{other:?}"))),
     }
 }
@@ -77,13 +77,14 @@
 /// Begins a term, if the log of orders ends at `end`.
 pub(super) async fn begin(
     state: &State,
-    seat: Assignment,
+    assignment: Assignment,
     until: Duration,
     end: Offset,
 ) -> Result<Term, Fault> {
-    let (epoch, era) = (seat.generation, state.store.era());
-    let record = serde_json::to_vec(&Began { epoch, vm: &state.setup.vm }).expect("plain fields");
+    let (epoch, era) = (assignment.generation, state.store.era());
+    let record =
+        serde_json::to_vec(&TermRecord { epoch, vm: &state.setup.vm }).expect("plain fields");
     let mut term = Term { epoch, end: End { offset: end, era }, until };
-    term.write(state, vec![record.into()]).await?;
+    term.append(state, vec![record.into()]).await?;
     Ok(term)
 }
