--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -17,45 +17,46 @@
 
 pub use notices::{announce, notices};
 
-/// Time the store may wait for new settings. An answer is overdue soon after, and a connection that
-/// went silent is given up before settings are in force too late.
-const WAIT: Duration = Duration::from_millis(1500);
+/// Time the store may wait for new settings. An answer counts as overdue soon after, so that a connection without
+/// answers is closed before settings come into force too late.
+const MAX_SETTINGS_WAIT: Duration = Duration::from_millis(1500);
 
-/// Time between two looks at the list of servers. Servers write every 1.2 s; half of the shortest
-/// time a leaving one may still get work.
-const LIST: Duration = Duration::from_millis(1000);
+/// Time between two reads of the list of servers. Servers write every 1.2 s; this is half of the shortest time in which
+/// a leaving server may still get work.
+const SERVER_LIST_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Longest time that a router which reads for others lets the store wait.
-const FRESH: Duration = Duration::from_millis(900);
+/// Longest time that the reader, which reads for other routers, lets the store wait.
+const MAX_READER_WAIT: Duration = Duration::from_millis(900);
 
-/// Pause after the store did not answer. Short against the two seconds within which settings are
-/// to be in force; each refused call costs the platform as much as a good one.
-const PAUSE: Duration = Duration::from_millis(300);
+/// Pause after the store did not answer. It is short against the two seconds within which settings have to come into
+/// force; each refused call costs the platform as much as a successful one.
+const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// Doublings of that pause while the store stays away. Tens of routers would otherwise make hundreds of
-/// calls a second to a store that answers none; 1.2 s is short against the time that lost layers take.
-const DOUBLINGS: u32 = 2;
+/// Number of times that pause doubles while the store stays unavailable. Tens of routers would otherwise send hundreds
+/// of calls a second to a store that answers none; 1.2 s is short against the time that it takes to load missing
+/// layers.
+const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
-/// Longest time that the readers of other logs wait while one asks whether the store is back. That one
-/// wakes them; this is for a store that answers for some logs only.
-const OTHERS: Duration = Duration::from_millis(4000);
+/// Longest time that the tasks of other logs wait while one probes whether the store has returned. That one wakes them;
+/// the limit is for a store that answers for some logs only.
+const MAX_PROBE_WAIT: Duration = Duration::from_millis(4000);
 
-/// Time after the store was regained in which a missing entry may have lapsed meanwhile.
-const REGAINED: Duration = Duration::from_millis(1500);
+/// Time after the store was regained during which a missing entry may have lapsed while the store was unavailable.
+const LAPSE_GRACE: Duration = Duration::from_millis(1500);
 
-/// A key and its value; none if the key was dropped.
+/// A key and its value; the value is none if the key was deleted.
 pub type Keyed = (String, Option<Bytes>);
 
-/// Reads the records of one kind that the platform keeps.
+/// Decodes the records that the platform keeps.
 #[derive(Debug, Clone, Copy)]
 pub struct Decoder {
     /// Key of the record that holds the settings.
     pub settings_key: &'static str,
-    /// Reads settings.
+    /// Decodes settings.
     pub settings: fn(&[u8]) -> Option<Settings>,
-    /// Reads a server's entry.
+    /// Decodes a server's entry.
     pub server: fn(&str, &[u8]) -> Option<Server>,
-    /// Takes a record with a key apart.
+    /// Splits a record into its key and its value.
     pub item: fn(&[u8]) -> Option<Keyed>,
 }
 
@@ -72,13 +73,13 @@
                 newer || state.settings().is_some_and(|s| s.version == version)
             }
             Some(None) => {
-                log::error!("gateway: settings at offset {} can't be read", item.offset);
+                log::error!("gateway: settings at offset {} can't be decoded", item.offset);
                 false
             }
             None => true,
         }
     };
-    follow(&state, Log::Settings, decoder, WAIT, Duration::ZERO, |items, _| {
+    follow(&state, Log::Settings, decoder, MAX_SETTINGS_WAIT, Duration::ZERO, |items, _| {
         items.iter().map(&take).collect()
     })
     .await;
@@ -86,15 +87,15 @@
 
 /// Keeps the list of servers up to date.
 pub async fn servers(state: Rc<State>, decoder: Decoder) {
-    let take = |items: &[Item], view: View| {
+    let take = |items: &[Item], info: BatchInfo| {
         let before = state.peers().len();
-        let change = |item| entries::change(&state, decoder, item, view.regained);
+        let change = |item| entries::apply(&state, decoder, item, info.regained);
         let taken: Vec<bool> = items.iter().map(change).collect();
-        if view.whole {
-            entries::drop_missing(&state, items, view.regained);
+        if info.whole {
+            entries::drop_missing(&state, items, info.regained);
         }
         entries::drop_expired(&state);
-        shared_read::record_list(&state, view.end);
+        shared_read::record_list(&state, info.end);
         state.servers_read.set(true);
         let after = state.peers().len();
         if after != before {
@@ -108,136 +109,147 @@
         }
         taken
     };
-    follow(&state, Log::Servers, decoder, Duration::ZERO, LIST, take).await;
+    follow(&state, Log::Servers, decoder, Duration::ZERO, SERVER_LIST_INTERVAL, take).await;
 }
 
-/// How records were read.
+/// How a batch of records was read.
 #[derive(Debug, Clone, Copy)]
-struct View {
-    /// Offset after the last one.
+struct BatchInfo {
+    /// Offset after the last record.
     end: Offset,
-    /// Whether they are all there are, not only changes.
+    /// Whether the batch holds all newest records, not only changes.
     whole: bool,
-    /// Whether the store was away until shortly before.
+    /// Whether the store was unavailable until shortly before.
     regained: bool,
 }
 
-/// Reads all newest records of a log, and then changes, for good. `take` says of each whether it was taken over.
+/// Reads all newest records of a log, and after that its changes, as long as the process runs. `take` applies a batch
+/// and returns for each record whether it was applied.
 async fn follow(
     state: &State,
     log: Log,
     decoder: Decoder,
     wait: Duration,
     pause: Duration,
-    mut take: impl FnMut(&[Item], View) -> Vec<bool>,
+    mut take: impl FnMut(&[Item], BatchInfo) -> Vec<bool>,
 ) {
     let mut at: Option<Offset> = None;
-    let mut away: Option<Instant> = None;
-    let mut back: Option<Instant> = None;
-    // When another router first said that the store is away.
-    let mut told: Option<Duration> = None;
+    let mut unavailable_since: Option<Instant> = None;
+    let mut regained_at: Option<Instant> = None;
+    // When another router first reported that the store is unavailable.
+    let mut reported: Option<Duration> = None;
     let mut failures = 0;
-    // Whether all is read since the store was restored.
+    // Whether the store was restored and nothing has been read since.
     let mut restored = false;
     // The era that the offset belongs to.
     let mut era = state.store.era();
     loop {
-        let now_era = state.store.era();
-        if now_era != era {
-            // None was known before the first answer.
+        let current_era = state.store.era();
+        if current_era != era {
+            // No era is known before the first answer.
             restored = era > 0;
-            log::info!("gateway: log={log} from={at:?} era={now_era} before={era} reading all");
-            (at, era) = (None, now_era);
+            log::info!(
+                "gateway: log={log} from={at:?} era={current_era} before={era} reading all records"
+            );
+            (at, era) = (None, current_era);
         }
         if restored {
-            // Entries that the copy lacks are written again as lapsed ones are.
-            back = Some(Instant::now());
+            // Entries that the restored copy lacks are written again, as lapsed ones are.
+            regained_at = Some(Instant::now());
         }
         if log == Log::Servers && shared_read::take_full_read_request(state) {
             at = None;
         }
         let read = match at {
-            None => newest(state, log, restored).await,
-            Some(from) => changes(state, log, decoder, End { offset: from, era }, wait).await,
+            None => read_newest(state, log, restored).await,
+            Some(from) => read_changes(state, log, decoder, End { offset: from, era }, wait).await,
         };
         match read {
-            Ok(Batch { items, end, source }) => {
+            Ok(Batch { items, end, kind }) => {
                 (era, restored) = (state.store.era(), false);
-                if source != Source::Router {
+                if kind != ReadKind::SourceChanges {
                     state.record_store_answer();
                 }
                 failures = 0;
-                if let Some(since) =
-                    told.take().filter(|since| shared_read::was_store_silent_since(state, *since))
+                if let Some(since) = reported
+                    .take()
+                    .filter(|since| shared_read::was_store_silent_since(state, *since))
                 {
                     log::info!("gateway: store regained log={log} told_away={since:?}");
-                    back = Some(Instant::now());
+                    regained_at = Some(Instant::now());
                 }
-                if let Some(since) = away.take() {
+                if let Some(since) = unavailable_since.take() {
                     log::info!("gateway: store regained log={log} away={:?}", since.elapsed());
-                    back = Some(Instant::now());
+                    regained_at = Some(Instant::now());
                 }
-                let regained = back.is_some_and(|b| b.elapsed() < REGAINED);
-                let whole = source == Source::Newest;
-                let taken = take(&items, View { end, whole, regained });
+                let regained = regained_at.is_some_and(|at| at.elapsed() < LAPSE_GRACE);
+                let whole = kind == ReadKind::Newest;
+                let taken = take(&items, BatchInfo { end, whole, regained });
                 shared_read::cache_newest(state, log, &items, &taken, end, whole);
                 at = Some(end);
-                if source != Source::Router {
+                if kind != ReadKind::SourceChanges {
                     shared_read::pause_after_read(state, pause).await;
                 }
             }
             Err(Fault::Gone) => {
-                log::info!("gateway: log={log} from={at:?} records were deleted, reading all");
+                log::info!(
+                    "gateway: log={log} from={at:?} records were deleted, reading all records"
+                );
                 at = None;
             }
             Err(Fault::SourceCutOff) => {
-                told.get_or_insert(state.now());
-                rest(state, log, PAUSE).await;
+                reported.get_or_insert(state.now());
+                wait_after_failure(state, log, RETRY_PAUSE).await;
             }
             Err(e) => {
-                if away.is_none() {
+                if unavailable_since.is_none() {
                     log::warn!("gateway: store lost log={log} why={e}");
-                    away = Some(Instant::now());
+                    unavailable_since = Some(Instant::now());
                 }
                 state.metrics.store_failed();
-                let asks = rest(state, log, PAUSE * (1 << failures.min(DOUBLINGS))).await;
-                failures += u32::from(asks);
+                let probes = wait_after_failure(
+                    state,
+                    log,
+                    RETRY_PAUSE * (1 << failures.min(MAX_PAUSE_DOUBLINGS)),
+                )
+                .await;
+                failures += u32::from(probes);
             }
         }
     }
 }
 
-/// Waits after a read of a log that failed: for `pause` if its decoder is the one that asks whether the store is
-/// back, else until that one has an answer. Whether it is the one that asks.
+/// Waits after a failed read of a log: for `pause` if this task is the one that probes whether the store has returned,
+/// else until that one has an answer. Returns whether it is the one that probes.
 ///
-/// A router that hears from another one does not ask: that one says when the store is back.
-async fn rest(state: &State, log: Log, pause: Duration) -> bool {
-    let asks = state.record_store_failure(log);
-    let pause = if asks && shared_read::may_read_store(state) { pause } else { OTHERS };
+/// A router with a source does not probe: the source reports when the store has returned.
+async fn wait_after_failure(state: &State, log: Log, pause: Duration) -> bool {
+    let probes = state.record_store_failure(log);
+    let pause = if probes && shared_read::may_read_store(state) { pause } else { MAX_PROBE_WAIT };
     let _ = tokio::time::timeout(pause, state.store_returned.notified()).await;
-    asks
+    probes
 }
 
 /// Records of a log.
 struct Batch {
     items: Vec<Item>,
-    /// Offset after the last one.
+    /// Offset after the last record.
     end: Offset,
-    source: Source,
+    kind: ReadKind,
 }
 
-/// Where records were read.
+/// Where records were read, and which ones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Source {
-    /// In the store, the newest ones of all keys.
+enum ReadKind {
+    /// The newest ones of all keys, from the store or a snapshot.
     Newest,
-    /// In the store, those from an offset on.
-    Store,
-    /// With the router that reads for all, those from an offset on.
-    Router,
+    /// Those from an offset on, from the store.
+    StoreChanges,
+    /// Those from an offset on, from the source.
+    SourceChanges,
 }
 
-async fn newest(state: &State, log: Log, restored: bool) -> Result<Batch, Fault> {
+async fn read_newest(state: &State, log: Log, restored: bool) -> Result<Batch, Fault> {
     if let Some(snapshot) = shared_read::snapshot(state, log, restored).await {
         let end = snapshot.end;
         let item = |(key, value): (String, Vec<u8>)| Item {
@@ -246,7 +258,7 @@
             offset: end.saturating_sub(1),
         };
         let items = snapshot.items.into_iter().map(item).collect();
-        return Ok(Batch { items, end, source: Source::Newest });
+        return Ok(Batch { items, end, kind: ReadKind::Newest });
     }
     let (mut items, mut after, mut first_end) = (Vec::new(), None, None);
     let mut era = None;
@@ -256,13 +268,13 @@
                 if *era.get_or_insert(state.store.era()) != state.store.era() {
                     return Err(Fault::Gone);
                 }
-                // Pages are no snapshot: what changed since the first one is read again.
+                // Pages are no consistent snapshot: changes since the first page are read again.
                 let end = *first_end.get_or_insert(end);
                 after = page.last().map(|i| i.key.clone());
                 items.extend(page);
                 if !more || after.is_none() {
                     shared_read::cache_records(state, log, end, &[], |_| true);
-                    return Ok(Batch { items, end, source: Source::Newest });
+                    return Ok(Batch { items, end, kind: ReadKind::Newest });
                 }
             }
             other => return Err(Fault::Unreadable(format!("{other:?}"))),
@@ -270,30 +282,30 @@
     }
 }
 
-async fn changes(
+async fn read_changes(
     state: &State,
     log: Log,
     decoder: Decoder,
     End { offset: from, era }: End,
     wait: Duration,
 ) -> Result<Batch, Fault> {
-    let heard =
+    let received =
         shared_read::read_from_source(state, log, from).await.filter(|_| state.store.era() == era);
-    let (records, end, source) = match heard {
-        Some((records, end)) => (records, end, Source::Router),
+    let (records, end, kind) = match received {
+        Some((records, end)) => (records, end, ReadKind::SourceChanges),
         None if !shared_read::may_read_store(state) => return Err(Fault::SourceCutOff),
         None => {
-            let wait = longest(state, wait);
+            let wait = max_wait(state, wait);
             match state.store.call(Call::Read { log, from, era, wait }).await? {
                 Reply::Records(records, _) => {
                     let end = from + records.len() as Offset;
-                    let news = changed(state, log, decoder, &records);
-                    let worth = |record: &Bytes| match (log, (decoder.item)(record)) {
-                        (Log::Servers, Some((key, _))) => news.binary_search(&key).is_ok(),
+                    let changed = changed_servers(state, log, decoder, &records);
+                    let is_new = |record: &Bytes| match (log, (decoder.item)(record)) {
+                        (Log::Servers, Some((key, _))) => changed.binary_search(&key).is_ok(),
                         _ => true,
                     };
-                    shared_read::cache_records(state, log, from, &records, worth);
-                    ((from..).zip(records).collect(), end, Source::Store)
+                    shared_read::cache_records(state, log, from, &records, is_new);
+                    ((from..).zip(records).collect(), end, ReadKind::StoreChanges)
                 }
                 other => return Err(Fault::Unreadable(format!("{other:?}"))),
             }
@@ -303,17 +315,17 @@
         let (key, value) = (decoder.item)(&record)?;
         Some(Item { key, value, offset })
     };
-    Ok(Batch { items: records.into_iter().filter_map(keyed).collect(), end, source })
+    Ok(Batch { items: records.into_iter().filter_map(keyed).collect(), end, kind })
 }
 
-/// Servers of which records tell anything that this router does not know; heartbeats do not. All records of
-/// such a server count: of a change and its undoing, the second says what is known already.
-fn changed(state: &State, log: Log, decoder: Decoder, records: &[Bytes]) -> Vec<Id> {
+/// Returns the servers of which the records say anything that this router does not know; heartbeats do not. All records
+/// of such a server count: of a change and its reversal, the second equals what is known already.
+fn changed_servers(state: &State, log: Log, decoder: Decoder, records: &[Bytes]) -> Vec<Id> {
     if log != Log::Servers {
         return Vec::new();
     }
     let keyed = records.iter().filter_map(|record| (decoder.item)(record));
-    let mut news: Vec<Id> = keyed
+    let mut changed: Vec<Id> = keyed
         .filter(|(key, value)| {
             let entry = value.as_ref().and_then(|value| (decoder.server)(key, value));
             match (entry, state.peer(key)) {
@@ -326,18 +338,18 @@
         })
         .map(|(key, _)| key)
         .collect();
-    news.sort_unstable();
-    news.dedup();
-    news
+    changed.sort_unstable();
+    changed.dedup();
+    changed
 }
 
-/// How long the store may wait for records.
-fn longest(state: &State, usual: Duration) -> Duration {
+/// Returns how long the store may wait for records.
+fn max_wait(state: &State, usual: Duration) -> Duration {
     match () {
-        // The answer tells that the store is back.
+        // The answer shows that the store has returned.
         () if state.store_unavailable() => Duration::ZERO,
-        // What others ask of this router must not grow old.
-        () if shared_read::is_reader(state) => usual.min(FRESH),
+        // The records that the reader serves to others must not grow old.
+        () if shared_read::is_reader(state) => usual.min(MAX_READER_WAIT),
         () => usual,
     }
 }
--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -1,4 +1,4 @@
-//! What entries of the list of servers change.
+//! Applies entries of the list of servers.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 use crate::state::State;
 use crate::store::{Item, Offset};
 
-/// Time within which entries that lapsed while the store was away come back.
-const LAPSED: Duration = Duration::from_millis(2200);
+/// Time within which entries that lapsed while the store was unavailable are written again.
+const LAPSED_ENTRY_TIME: Duration = Duration::from_millis(2200);
 
-/// Takes a record of the list over; whether it was taken, as none that is newer is known.
-pub(super) fn change(state: &State, decoder: Decoder, item: &Item, regained: bool) -> bool {
+/// Applies a record of the list; returns false if a newer one is known.
+pub(super) fn apply(state: &State, decoder: Decoder, item: &Item, regained: bool) -> bool {
     let entry = item.value.as_ref().and_then(|value| (decoder.server)(&item.key, value));
     let known = Entry { offset: item.offset, heard: state.now() };
     match (entry, state.peer(&item.key)) {
         (Some(server), Some(peer)) => {
             let was = peer.server();
             if server.is_before(&was) {
-                note_old(state, &server, &was, item.offset);
+                record_old_entry(state, &server, &was, item.offset);
                 return false;
             }
             if was.address != server.address || was.service != server.service {
@@ -42,7 +42,7 @@
         }
         (Some(server), None) => {
             if let Some(gone) = state.removed(&server).filter(|gone| !gone.is_before(&server)) {
-                note_old(state, &server, &gone, item.offset);
+                record_old_entry(state, &server, &gone, item.offset);
                 return false;
             }
             log::info!(
@@ -56,15 +56,15 @@
             state.add(Peer::new(server, known));
         }
         // An entry that can't be read names no server to use.
-        (None, Some(_)) => lose(state, &item.key, regained),
+        (None, Some(_)) => remove_or_lapse(state, &item.key, regained),
         (None, None) => {}
     }
     true
 }
 
-/// Notes an entry that was written before the one that is known, and is left out: a server that leaves would get work
+/// Logs and counts an entry that is older than the known one and is ignored: otherwise a leaving server would get work
 /// again.
-fn note_old(state: &State, server: &Server, known: &Server, offset: Offset) {
+fn record_old_entry(state: &State, server: &Server, known: &Server, offset: Offset) {
     state.metrics.old_entry();
     log::info!(
         "gateway: server={} entry=old state={:?} sequence={:?} known={:?} known_sequence={:?} offset={offset}",
@@ -76,13 +76,13 @@
     );
 }
 
-/// Handles a server whose entry is gone. Entries lapse while the store is away and come back soon
-/// after it; dropping all of them at once would leave nothing to send requests to.
-fn lose(state: &State, id: &Id, regained: bool) {
+/// Handles a server whose entry is gone. Entries lapse while the store is unavailable and are written again soon after;
+/// dropping all of them at once would leave no server to send requests to.
+fn remove_or_lapse(state: &State, id: &Id, regained: bool) {
     let Some(peer) = state.peer(id) else { return };
     if regained && peer.ready() {
         log::info!("gateway: server={id} lapsed=true");
-        peer.lapse(state.now() + LAPSED);
+        peer.lapse(state.now() + LAPSED_ENTRY_TIME);
     } else {
         log::info!("gateway: server={id} gone=true");
         state.remove(id);
@@ -93,7 +93,7 @@
     for peer in state.peers() {
         let id = peer.server().id.clone();
         if !items.iter().any(|i| i.key == id) {
-            lose(state, &id, regained);
+            remove_or_lapse(state, &id, regained);
         }
     }
 }
--- a/crates/gateway/src/follow/notices.rs
+++ b/crates/gateway/src/follow/notices.rs
@@ -1,11 +1,11 @@
-//! What routers tell each other through the store.
+//! Reads and writes the notices that routers exchange through the store.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::time::sleep;
 
-use super::{DOUBLINGS, PAUSE, longest, rest};
+use super::{MAX_PAUSE_DOUBLINGS, RETRY_PAUSE, max_wait, wait_after_failure};
 use crate::notice::{self, Notice};
 use crate::repeats;
 use crate::roster;
@@ -13,86 +13,91 @@
 use crate::state::State;
 use crate::store::{Call, Era, Fault, Log, Offset, Reply};
 
-/// Time the store may wait for notices, which come rarely and are worth nothing when late.
-const NOTICES: Duration = Duration::from_millis(2500);
+/// Time the store may wait for notices, which come rarely and are useless when late.
+const MAX_NOTICES_WAIT: Duration = Duration::from_millis(2500);
 
-/// Pause of a router that reads for others after a read of notices: around a loss they come one by one.
-const BATCH: Duration = Duration::from_millis(400);
+/// Pause of the reader after a read of notices: around the loss of servers they come one by one.
+const BATCH_PAUSE: Duration = Duration::from_millis(400);
 
-/// Notices of before this process started that it reads. The giver of orders tells each second how all servers work;
-/// around a dead server some tens of routers tell of it once each.
-const BEFORE: Offset = 100;
+/// Notices from before the start of this process that it reads. The leader announces the load of all servers each
+/// second; around a dead server some tens of routers announce it once each.
+const MAX_REPLAYED_NOTICES: Offset = 100;
 
-/// Reads what was said shortly before this process started, and where the log ends.
+/// Reads the notices from shortly before the start of this process, and returns the end of the log.
 ///
-/// Without it, a router that starts anew sends requests through servers that all others know to be slow or full, for
-/// the second until that is said again.
-async fn before(state: &Rc<State>) -> Option<(Offset, Era)> {
+/// Without them, a router that has just started sends requests through servers that all others know to be slow or full,
+/// until the next notice a second later.
+async fn read_earlier(state: &Rc<State>) -> Option<(Offset, Era)> {
     if let Some(snapshot) = shared_read::snapshot(state, Log::Notices, false).await {
-        catch_up(state, snapshot.items.iter().map(|(_, record)| &record[..])).await;
+        replay(state, snapshot.items.iter().map(|(_, record)| &record[..])).await;
         return Some((snapshot.end, snapshot.era));
     }
     let call = Call::Append { log: Log::Notices, records: Vec::new(), at: None };
     let end = match state.store.call(call).await {
         Ok(Reply::Appended(end)) => end,
         other => {
-            log::debug!("gateway: no end of the notices: {other:?}");
+            log::debug!("gateway: end of the log of notices not known: {other:?}");
             return None;
         }
     };
     state.record_store_answer();
     let era = state.store.era();
-    let from = end.saturating_sub(BEFORE);
+    let from = end.saturating_sub(MAX_REPLAYED_NOTICES);
     let call = Call::Read { log: Log::Notices, from, era, wait: Duration::ZERO };
     let records = match state.store.call(call).await {
         Ok(Reply::Records(records, _)) => records,
-        // Deleted, or the store is away again: they are said anew.
+        // Deleted, or the store is unavailable again: they are announced again.
         other => {
-            log::debug!("gateway: no notices of before: {other:?}");
+            log::debug!("gateway: earlier notices not read: {other:?}");
             return Some((end, era));
         }
     };
     shared_read::cache_records(state, Log::Notices, from, &records, |_| true);
-    catch_up(state, records.iter().map(|record| &record[..])).await;
+    replay(state, records.iter().map(|record| &record[..])).await;
     Some((from + records.len() as Offset, era))
 }
 
-/// Takes over what was said before, once the servers are known that it speaks of.
-async fn catch_up(state: &Rc<State>, said: impl Iterator<Item = &[u8]>) {
-    let said: Vec<Notice> = said.filter_map(Notice::decode).collect();
+/// Replays earlier notices once the servers that they name are known.
+async fn replay(state: &Rc<State>, earlier: impl Iterator<Item = &[u8]>) {
+    let earlier: Vec<Notice> = earlier.filter_map(Notice::decode).collect();
     while !state.servers_read.get() {
-        let _ = tokio::time::timeout(PAUSE, state.changed.notified()).await;
+        let _ = tokio::time::timeout(RETRY_PAUSE, state.changed.notified()).await;
     }
-    notice::catch_up(state, &said);
+    notice::catch_up(state, &earlier);
     repeats::note_read(state);
 }
 
-/// Hears what other routers say.
+/// Receives the notices of other routers.
 pub async fn notices(state: Rc<State>) {
-    let mut at: Option<(Offset, Era)> = before(&state).await;
+    let mut at: Option<(Offset, Era)> = read_earlier(&state).await;
     loop {
         if at.is_some_and(|(_, era)| era != state.store.era()) {
             let snapshot = shared_read::snapshot(&state, Log::Notices, true).await;
             at = snapshot.map(|snapshot| (snapshot.end, snapshot.era));
         }
-        // After a gap, what was said meanwhile is out of date.
+        // After a gap, the notices of the time between are out of date.
         let call = match at {
             None => Call::Append { log: Log::Notices, records: Vec::new(), at: None },
             Some((from, era)) => {
-                let heard = shared_read::read_from_source(&state, Log::Notices, from).await;
-                if let Some((records, end)) = heard.filter(|_| state.store.era() == era) {
+                let received = shared_read::read_from_source(&state, Log::Notices, from).await;
+                if let Some((records, end)) = received.filter(|_| state.store.era() == era) {
                     at = Some((end, era));
                     records
                         .iter()
                         .filter_map(|(_, r)| Notice::decode(r))
-                        .for_each(|w| notice::receive(&state, &w));
+                        .for_each(|notice| notice::receive(&state, &notice));
                     continue;
                 }
                 if !shared_read::may_read_store(&state) {
-                    rest(&state, Log::Notices, PAUSE * (1 << DOUBLINGS)).await;
+                    wait_after_failure(
+                        &state,
+                        Log::Notices,
+                        RETRY_PAUSE * (1 << MAX_PAUSE_DOUBLINGS),
+                    )
+                    .await;
                     continue;
                 }
-                let wait = longest(&state, NOTICES);
+                let wait = max_wait(&state, MAX_NOTICES_WAIT);
                 Call::Read { log: Log::Notices, from, era, wait }
             }
         };
@@ -111,38 +116,41 @@
                 records
                     .iter()
                     .filter_map(|r| Notice::decode(r))
-                    .for_each(|w| notice::receive(&state, &w));
+                    .for_each(|notice| notice::receive(&state, &notice));
                 if shared_read::is_reader(&state) {
-                    sleep(BATCH).await;
+                    sleep(BATCH_PAUSE).await;
                 }
             }
-            Ok(other) => log::error!("gateway: unexpected answer of the store: {other:?}"),
+            Ok(other) => log::error!(
+                "gateway: unexpected reply of the store to a call for notices: {other:?}"
+            ),
             // Of another era, or deleted.
             Err(Fault::Gone) => at = at.filter(|(_, era)| *era != state.store.era()),
             Err(e) => {
-                log::debug!("gateway: no notices: {e}");
-                rest(&state, Log::Notices, PAUSE * (1 << DOUBLINGS)).await;
+                log::debug!("gateway: notices not read: {e}");
+                wait_after_failure(&state, Log::Notices, RETRY_PAUSE * (1 << MAX_PAUSE_DOUBLINGS))
+                    .await;
             }
         }
     }
 }
 
-/// Longest time a notice waits for another router to say the same, by the number of routers. All that
-/// send work to a dead server notice within the same tenth of a second.
-const SAME: Duration = Duration::from_millis(6);
+/// Longest time that a notice waits for another router to announce the same, for each router of the group. All routers
+/// that send work to a dead server detect that within the same tenth of a second.
+const DUPLICATE_WAIT_PER_ROUTER: Duration = Duration::from_millis(6);
 
-/// Writes down what the other routers are told.
+/// Writes the notices for the other routers.
 pub async fn announce(state: Rc<State>) {
     loop {
         state.notices_queued.notified().await;
-        let most = SAME * state.routers();
+        let max_wait = DUPLICATE_WAIT_PER_ROUTER * state.routers();
         if state.sharing.members() < roster::MIN_SHARING_ROUTERS {
-            sleep(most.mul_f64(rand::random())).await;
+            sleep(max_wait.mul_f64(rand::random())).await;
         }
         let mut notices: Vec<Notice> = state.notices.borrow_mut().drain(..).collect();
         notices.retain(|notice| !notice::was_announced(&state, notice));
         notices.retain(|notice| !shared_read::publish(&state, notice) || notice.is_durable());
-        // What is told after the store is back is out of date.
+        // Notices from before the store was regained are out of date.
         if notices.is_empty() || state.store_unavailable() {
             continue;
         }
@@ -150,7 +158,7 @@
         if let Err(e) =
             state.store.call(Call::Append { log: Log::Notices, records, at: None }).await
         {
-            log::info!("gateway: {} notices to other routers lost: {e}", notices.len());
+            log::info!("gateway: {} notices to other routers not written: {e}", notices.len());
         }
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,7 +1,7 @@
-//! What the gateway asks of the platform's store, as typed calls.
+//! Typed calls that the gateway sends to the platform's store.
 //!
-//! The store keeps logs and membership of groups. How a call looks on the wire is the adapter's
-//! matter: it gives a [`Client`] a closure that carries one call out.
+//! The store keeps logs and the membership of groups. The adapter defines how a call looks on the wire: it gives a
+//! [`Client`] a closure that carries out one call.
 
 mod call;
 mod fault;
@@ -26,8 +26,8 @@
 /// A number that rises with each change of a group's members, also across eras of the store.
 pub type Generation = u64;
 
-/// Number of the store's present life. It rises when the store comes back from an older copy of itself: what was
-/// written since the copy is gone, and offsets and generations are given out again. Nought where it is not known.
+/// Number of the store's current era. It rises when the store is restored from an older copy: what was written since
+/// the copy is lost, and offsets and generations are assigned again. Zero if it is not known.
 pub type Era = u64;
 
 /// Where a log ended.
@@ -39,57 +39,58 @@
     pub era: Era,
 }
 
-/// Bits of a generation that the store gives; those above hold the era.
+/// Bits of a generation that the store assigns; those above hold the era.
 const GENERATION_BITS: u32 = 32;
 
-/// Time for which answers of an older era only are dropped. Then the store has taken a lower number.
-const FALLEN: Duration = Duration::from_secs(2);
+/// Time for which answers of a lower era are rejected. If only such answers come for longer, the store has taken a
+/// lower number.
+const LOWER_ERA_REJECTION: Duration = Duration::from_secs(2);
 
-/// Time after a fall in which an era is taken from the store only.
-const FALLEN_FOR: Duration = Duration::from_secs(30);
+/// Time after a fall of the era in which a new era is accepted from the store only.
+const FALLEN_ERA_TIME: Duration = Duration::from_secs(30);
 
 /// The logs that the gateway uses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Log {
-    /// Fleet settings that operators write; newest record of each key kept.
+    /// Fleet settings that operators write; the newest record of each key is kept.
     #[display("settings")]
     Settings,
-    /// Entries that backend servers write of themselves; newest record of each key kept.
+    /// Entries that backend servers write about themselves; the newest record of each key is kept.
     #[display("servers")]
     Servers,
-    /// Orders, written down by the router that gives them before it gives them.
+    /// Orders, recorded by the leader before it sends them.
     #[display("orders")]
     Orders,
-    /// What one router tells the others.
+    /// Notices of one router to the others.
     #[display("notices")]
     Notices,
 }
 
-/// A record of a log with one newest record for each key.
+/// A record of a log that keeps the newest record of each key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its key.
+    /// The key.
     pub key: String,
-    /// Its value; none if the key was dropped.
+    /// The value; none if the key was deleted.
     pub value: Option<Bytes>,
-    /// Its offset.
+    /// The offset.
     pub offset: Offset,
 }
 
-/// A share in the group of routers.
+/// The partitions of the group that are assigned to this router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Assignment {
     /// Generation of the group.
     pub generation: Generation,
-    /// Seats that this router holds.
+    /// Number of partitions that this router holds.
     pub assigned: u32,
-    /// Seats there are; they are dealt evenly.
+    /// Number of all partitions; they are assigned evenly.
     pub total: u32,
-    /// Whether it holds the first seat, whose holder gives orders.
+    /// Whether this router holds the first partition, whose holder is the leader.
     pub holds_first: bool,
 }
 
-/// An answer.
+/// A reply of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
     /// Records, and the offset after the log's last one.
@@ -98,74 +99,74 @@
     Page(Vec<Item>, bool, Offset),
     /// The offset after the last record.
     Appended(Offset),
-    /// A share in the group.
+    /// The assignment of this router.
     Joined(Assignment),
     /// Names of the members.
     Members(Vec<String>),
-    /// Done.
+    /// The membership has ended.
     Left,
 }
 
-/// What an answer says of the store's era.
+/// The store's era as an answer reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedEra {
-    /// Nothing, or there is no answer.
+    /// The answer names no era, or there is no answer.
     Absent,
     /// The era.
     Era(Era),
-    /// Something that is no number.
+    /// The text is no number.
     Unreadable,
 }
 
-/// What came of carrying a call out.
+/// Outcome of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The reply, or why there is none.
     pub reply: Result<Reply, Fault>,
-    /// What the answer says of the store's era.
+    /// The store's era as the answer reports it.
     pub era: ReportedEra,
 }
 
 type Pending = Pin<Box<dyn Future<Output = Answer>>>;
 
-/// Carries calls out, one at a time.
+/// Sends calls to the store, one at a time.
 pub struct Client {
     carry: Box<dyn Fn(Call) -> Pending>,
-    /// Calls made, by kind.
-    made: RefCell<Vec<(&'static str, u64)>>,
-    /// Calls without a useful answer, by their kind and the fault's.
-    failed: RefCell<Vec<((&'static str, &'static str), u64)>>,
+    /// Calls sent, by kind.
+    calls: RefCell<Vec<(&'static str, u64)>>,
+    /// Calls without a useful answer, by the kind of the call and of the fault.
+    faults: RefCell<Vec<((&'static str, &'static str), u64)>>,
     era: Cell<Era>,
-    /// Restores of the store that were noticed.
+    /// Restores of the store that were detected.
     restores: Cell<u64>,
-    /// Answers whose era was of no use, and whether the last one that told anything was such.
-    odd: Cell<u64>,
-    is_odd: Cell<bool>,
+    /// Answers whose era was rejected, and whether the last one that reported an era was such.
+    rejected: Cell<u64>,
+    last_rejected: Cell<bool>,
     /// When the era last fell.
-    fell: Cell<Option<Instant>>,
-    /// Since when all answers are of an older era.
-    older: Cell<Option<Instant>>,
+    fell_at: Cell<Option<Instant>>,
+    /// Since when all answers report a lower era.
+    lower_since: Cell<Option<Instant>>,
     /// Woken when another era begins.
-    renewed: Notify,
+    era_changed: Notify,
 }
 
 impl Client {
-    /// A client that hands each call to `carry`.
+    /// Creates a client that hands each call to `carry`.
     pub fn new<F>(carry: impl Fn(Call) -> F + 'static) -> Client
     where
         F: Future<Output = Answer> + 'static,
     {
         Client {
             carry: Box::new(move |call| Box::pin(carry(call))),
-            made: RefCell::default(),
-            failed: RefCell::default(),
+            calls: RefCell::default(),
+            faults: RefCell::default(),
             era: Cell::default(),
             restores: Cell::default(),
-            odd: Cell::default(),
-            is_odd: Cell::default(),
-            fell: Cell::default(),
-            older: Cell::default(),
-            renewed: Notify::new(),
+            rejected: Cell::default(),
+            last_rejected: Cell::default(),
+            fell_at: Cell::default(),
+            lower_since: Cell::default(),
+            era_changed: Notify::new(),
         }
     }
 
@@ -174,7 +175,7 @@
         let kind = call.kind();
         let reply = self.carry_out(call).await;
         if let Err(fault) = &reply {
-            count(&self.failed, (kind, fault.kind()));
+            count(&self.faults, (kind, fault.kind()));
         }
         reply
     }
@@ -187,27 +188,27 @@
         if outdated() {
             return Err(too_late);
         }
-        count(&self.made, call.kind());
+        count(&self.calls, call.kind());
         let answer = tokio::select! {
             answer = (self.carry)(self.outgoing(call)) => answer,
-            // The store may hold an answer back for seconds, to an offset that is of no use any more.
-            () = self.renewed.notified(), if is_read => return Err(too_late),
+            // The store may hold an answer back for seconds, and the offset is of no use any more.
+            () = self.era_changed.notified(), if is_read => return Err(too_late),
         };
         match answer.era {
             ReportedEra::Absent => {}
-            ReportedEra::Era(era) => self.note(era)?,
-            ReportedEra::Unreadable => self.note_odd("can't be read"),
+            ReportedEra::Era(era) => self.check_era(era)?,
+            ReportedEra::Unreadable => self.reject_era("can't be read"),
         }
         match answer.reply? {
-            // The offset was that of an era that has ended meanwhile. The log of a copy may happen to end there as well.
+            // The offset belongs to an era that has ended meanwhile. The restored log may happen to end there as well.
             _ if outdated() => Err(too_late),
-            // The answer to another call.
+            // This is the answer to another call.
             Reply::Appended(end) if expected.is_some_and(|expected| expected != end) => {
                 Err(Fault::Unreadable(format!("the log ends at {end}, expected={expected:?}")))
             }
-            Reply::Joined(seat) => {
-                let generation = self.era.get() << GENERATION_BITS | seat.generation;
-                Ok(Reply::Joined(Assignment { generation, ..seat }))
+            Reply::Joined(assignment) => {
+                let generation = self.era.get() << GENERATION_BITS | assignment.generation;
+                Ok(Reply::Joined(Assignment { generation, ..assignment }))
             }
             reply => Ok(reply),
         }
@@ -218,83 +219,84 @@
         self.era.get()
     }
 
-    /// Restores of the store that were noticed.
+    /// Restores of the store that were detected.
     pub fn restores(&self) -> u64 {
         self.restores.get()
     }
 
-    /// Answers that named an older era than the one known, or none that could be read.
+    /// Answers that reported a lower era than the known one, or none that could be read.
     pub fn rejected_eras(&self) -> u64 {
-        self.odd.get()
+        self.rejected.get()
     }
 
-    /// Takes an era over that another router has heard of. After a fall, other routers may still know the higher one.
+    /// Adopts a higher era that another router reports. After a fall, other routers may still know the higher one, so
+    /// it is ignored.
     pub fn adopt_era(&self, era: Era) {
-        let fell = self.fell.get().is_some_and(|at| at.elapsed() < FALLEN_FOR);
+        let fell = self.fell_at.get().is_some_and(|at| at.elapsed() < FALLEN_ERA_TIME);
         if era > self.era.get() && !fell {
-            self.begin(era);
+            self.begin_era(era);
         }
     }
 
-    /// Takes the era of an answer over; a fault if that is an older one.
-    fn note(&self, era: Era) -> Result<(), Fault> {
+    /// Checks the era of an answer and adopts a new one; returns a fault if it is a lower one.
+    fn check_era(&self, era: Era) -> Result<(), Fault> {
         let known = self.era.get();
         if era < known {
-            self.note_odd("is older than the one known");
-            let since = self.older.get().unwrap_or_else(Instant::now);
-            self.older.set(Some(since));
-            if since.elapsed() < FALLEN {
+            self.reject_era("is older than the one known");
+            let since = self.lower_since.get().unwrap_or_else(Instant::now);
+            self.lower_since.set(Some(since));
+            if since.elapsed() < LOWER_ERA_REJECTION {
                 return Err(Fault::Stale);
             }
             log::warn!("gateway: the store's era has fallen from {known} to {era}");
-            self.fell.set(Some(Instant::now()));
+            self.fell_at.set(Some(Instant::now()));
         }
-        self.older.set(None);
-        self.is_odd.set(false);
+        self.lower_since.set(None);
+        self.last_rejected.set(false);
         if era != known {
-            self.begin(era);
+            self.begin_era(era);
         }
         Ok(())
     }
 
-    /// Counts an answer whose era is of no use; the first of several in a row has a line.
-    fn note_odd(&self, why: &str) {
-        self.odd.set(self.odd.get() + 1);
-        if !self.is_odd.replace(true) {
+    /// Counts an answer whose era is rejected; only the first of several in a row is logged.
+    fn reject_era(&self, why: &str) {
+        self.rejected.set(self.rejected.get() + 1);
+        if !self.last_rejected.replace(true) {
             log::warn!("gateway: the store's era {why} known={}", self.era.get());
         }
     }
 
-    fn begin(&self, era: Era) {
+    fn begin_era(&self, era: Era) {
         let before = self.era.replace(era);
-        self.renewed.notify_waiters();
+        self.era_changed.notify_waiters();
         if before > 0 {
             self.restores.set(self.restores.get() + 1);
             log::warn!("gateway: store restored era={era} before={before}");
         }
     }
 
-    /// The call as the store takes it.
+    /// Returns the call as the store expects it.
     fn outgoing(&self, call: Call) -> Call {
         match call {
             Call::Join { member, ttl, generation } => {
-                let of_era = generation >> GENERATION_BITS == self.era.get();
+                let is_current = generation >> GENERATION_BITS == self.era.get();
                 let generation = generation & ((1 << GENERATION_BITS) - 1);
-                let generation = if of_era { generation } else { 0 };
+                let generation = if is_current { generation } else { 0 };
                 Call::Join { member, ttl, generation }
             }
             call => call,
         }
     }
 
-    /// Calls made so far, by kind.
+    /// Calls sent so far, by kind.
     pub fn call_counts(&self) -> Vec<(&'static str, u64)> {
-        self.made.borrow().clone()
+        self.calls.borrow().clone()
     }
 
-    /// Calls so far that had no useful answer, by their kind and the fault's.
+    /// Calls so far that had no useful answer, by the kind of the call and of the fault.
     pub fn fault_counts(&self) -> Vec<((&'static str, &'static str), u64)> {
-        self.failed.borrow().clone()
+        self.faults.borrow().clone()
     }
 }
 
--- a/crates/gateway/src/store/call.rs
+++ b/crates/gateway/src/store/call.rs
@@ -9,50 +9,50 @@
 /// One call.
 #[derive(Debug, Clone)]
 pub enum Call {
-    /// Records from an offset on; waits so long for the first one.
+    /// Reads records from an offset on; waits up to `wait` for the first one.
     Read {
         /// The log.
         log: Log,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
         /// The era that the offset belongs to.
         era: Era,
         /// How long the store may wait for a record.
         wait: Duration,
     },
-    /// The newest record of each key, in pages.
+    /// Reads the newest record of each key, in pages.
     Newest {
         /// The log.
         log: Log,
-        /// Last key of the page before.
+        /// Last key of the previous page.
         after: Option<String>,
     },
-    /// Adds records.
+    /// Appends records.
     Append {
         /// The log.
         log: Log,
         /// The records.
         records: Vec<Bytes>,
-        /// Where the log has to end, if anywhere.
+        /// Where the log has to end, if that is a condition.
         at: Option<End>,
     },
-    /// Adds a record to what a router's processes tell each other. Several routers may share such a log.
+    /// Appends a record to the log of a router's own processes. Several routers may share such a log.
     AppendOwn {
         /// The router's VM.
         vm: String,
         /// The record.
         record: Bytes,
-        /// Offset at which the log has to end, if any.
+        /// Offset at which the log has to end, if that is a condition.
         at: Option<Offset>,
     },
-    /// Records of that log from an offset on.
+    /// Reads records of that log from an offset on.
     ReadOwn {
         /// The router's VM.
         vm: String,
-        /// First offset wanted.
+        /// First offset to read.
         from: Offset,
     },
-    /// Joins the group of routers, or stays in it.
+    /// Joins the group of routers, or extends the membership.
     Join {
         /// This router.
         member: String,
@@ -61,7 +61,7 @@
         /// The generation of the last answer.
         generation: Generation,
     },
-    /// Asks for the members of the group of routers.
+    /// Reads the members of the group of routers.
     Members,
     /// Leaves the group of routers.
     Leave {
@@ -71,7 +71,7 @@
 }
 
 impl Call {
-    /// What kind of call it is, for the metrics.
+    /// Returns the kind of the call, for the metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Call::Read { log: Log::Settings, .. } => "read_settings",
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The era of the offset that it names, if any; in another one the call is of no use.
+    /// Returns the era of the offset that the call names, if any; in another era the call is of no use.
     pub(super) fn offset_era(&self) -> Option<Era> {
         match self {
             Call::Read { era, .. } => Some(*era),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Where the log ends after it, if that follows from the call.
+    /// Returns where the log ends after the call, if that follows from the call.
     pub(super) fn expected_end(&self) -> Option<Offset> {
         match self {
             Call::Append { records, at, .. } => at.map(|at| at.offset + records.len() as Offset),
--- a/crates/gateway/src/store/fault.rs
+++ b/crates/gateway/src/store/fault.rs
@@ -1,4 +1,4 @@
-//! Why a call to the store has no useful answer.
+//! Reasons why a call to the store has no useful answer.
 
 use derive_more::{Display, Error};
 
@@ -7,30 +7,30 @@
 /// Why a call has no useful answer.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// No answer: the call may have been carried out, or may be yet.
+    /// There is no answer: the call may have been carried out, or may still be.
     #[display("no answer from the store while {step}: {why}")]
     Silent {
-        /// What was tried.
+        /// The step that failed.
         step: &'static str,
         /// What went wrong.
         why: String,
     },
-    /// Another router says that the store does not answer it; nothing was asked.
+    /// The source reports that the store does not answer; no call was sent.
     #[display("the router that reads the store has no answer")]
     SourceCutOff,
-    /// Turned away; nothing was done.
+    /// The store refused the call; nothing was done.
     #[display("the store turned the call away with status {_0}")]
     Refused(#[error(not(source))] u16),
-    /// The records asked for are gone.
+    /// The requested records were deleted.
     #[display("the records asked for were deleted")]
     Gone,
-    /// The log does not end where it was said to; nothing was done.
+    /// The log does not end where the call says; nothing was done.
     #[display("the log has grown meanwhile, end={end:?}")]
     EndMismatch {
-        /// Where it ends, if the store says so.
+        /// Where the log ends, if the store reports it.
         end: Option<Offset>,
     },
-    /// The call or its answer is of before the store was restored.
+    /// The call or its answer is from before the store was restored.
     #[display("the store was restored meanwhile, or the answer is of an older era")]
     Stale,
     /// The answer can't be read.
@@ -39,7 +39,7 @@
 }
 
 impl Fault {
-    /// What kind of fault it is, for the metrics.
+    /// Returns the kind of the fault, for the metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             Fault::Silent { .. } => "silent",
