--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -1,13 +1,12 @@
-//! One router reads the store, and the others hear from it.
+//! Shared reads of the store: one router reads it and serves the records to the others.
 //!
-//! [`crate::roster`] says who reads for whom. A router asks its source for all logs with one request, which is answered
-//! as soon as there is news. What is heard is kept for a while, so that any router can be asked by others at once when
-//! it becomes the next reader.
+//! [`crate::roster`] defines who reads for whom. A router polls its source for all logs with one request, which is
+//! answered as soon as there are updates. Received records are kept for a while, so that any router can serve others at
+//! once when it becomes the next reader.
 //!
-//! What could go wrong is that the reader is cut off from the store and the others with it, without
-//! any of them noticing. So each answer says how old the reader's knowledge is, and whether the store answers it; a
-//! router whose source knows too little asks the next one, and reads the store itself if it has heard nothing for
-//! more than a second.
+//! The reader may be cut off from the store without any router noticing. So each answer says how old the reader's data
+//! is, and whether the store answers it. A router whose source has outdated data turns to the next one, and reads the
+//! store itself if it has received nothing for more than a second.
 
 mod availability;
 mod client;
@@ -47,139 +46,139 @@
 /// Logs that are shared.
 pub const LOGS: [Log; 3] = [Log::Settings, Log::Servers, Log::Notices];
 
-/// Age from which on what a router knows is not used. The store is read at least once a second, and an answer may
-/// wait for [`WAIT`] twice on its way.
-const OLD: Duration = Duration::from_millis(1900);
+/// Age from which on data of a source is not used. The store is read at least once a second, and an answer may wait for
+/// [`MAX_POLL_WAIT`] twice on its way.
+const MAX_AGE: Duration = Duration::from_millis(1900);
 
-/// Time for which an answer is held back if there is no news.
-const WAIT: Duration = Duration::from_millis(400);
+/// Time for which an answer is held back if there are no updates.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
 
-/// Time since the last answer after which a router reads the store itself. Two sources may be lost one after the
-/// other; a leaving server gets no more work after two seconds.
-const GRACE: Duration = Duration::from_millis(1200);
+/// Time since the last answer after which a router reads the store itself. Two sources may fail one after the other; a
+/// leaving server must get no work after two seconds.
+const SOURCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Pause after an answer: what comes meanwhile is asked for at once.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two polls; updates of that time come with the next answer at once.
+const MIN_POLL_PAUSE: Duration = Duration::from_millis(100);
 
-/// Routers up to which they ask at that pace. The pause grows with their number, to four times as long.
-const CROWD: f64 = 60.0;
+/// Number of routers up to which they poll at that rate. The pause grows with their number, up to four times as long.
+const ROUTERS_AT_MIN_PAUSE: f64 = 60.0;
 
-/// Longest time between two looks whether there is anything to do.
-const LOOK: Duration = Duration::from_millis(300);
+/// Longest time between two checks whether there is anything to do.
+const CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Newest values of the keys of a log, sorted by key, as of one offset.
 #[derive(Debug, Default)]
 struct Newest {
     values: Vec<(String, Bytes)>,
-    /// Offset after the last record that is among them; none if nothing was read.
+    /// Offset after the last record that they include; none if nothing was read.
     end: Option<Offset>,
 }
 
-/// What a router knows of those that read for others.
+/// State of the shared reads of one router.
 #[derive(Debug, Default)]
 pub struct Sharing {
     /// The members of the group.
     roster: RefCell<Roster>,
-    /// Position of this router among them, and their number.
+    /// Index of this router among the members, and their number.
     rank: Cell<Option<(u32, u32)>>,
-    /// Whether it ever was one of them.
+    /// Whether this router ever was a member.
     was_member: Cell<bool>,
-    /// Addresses of the others, sorted.
+    /// Addresses of the other members, sorted.
     others: RefCell<Rc<[SocketAddr]>>,
-    /// Routers that left the group, sorted, and until when they may still serve.
+    /// Routers that left the group, sorted, and until when they may still serve callers.
     leaving: RefCell<Vec<(SocketAddr, Duration)>>,
-    /// Generation of the group that this router last heard as a member.
-    joined: Cell<Generation>,
-    /// When a source last gave a useful answer.
-    heard: Cell<Option<Duration>>,
-    /// Whether the source said that the store does not answer it.
+    /// Generation of the group in the last answer to a join call of this router.
+    joined_generation: Cell<Generation>,
+    /// When a source last gave a usable answer.
+    last_answer: Cell<Option<Duration>>,
+    /// Whether the source reports that the store does not answer it.
     store_unavailable: Cell<bool>,
-    /// When the source first said so.
-    reported_unavailable: Cell<Duration>,
-    /// When this router is to find out whether the store answers it.
-    check: Cell<Option<Duration>>,
-    /// When the store answered this router though the source says that it is away.
-    answered: Cell<Option<Duration>>,
-    /// When the store last did not answer a call of this router.
-    silent: Cell<Option<Duration>>,
-    /// Routers that are passed over, and until when.
+    /// When the source first reported that.
+    reported_unavailable_at: Cell<Duration>,
+    /// When this router has to check whether the store answers it.
+    store_check_at: Cell<Option<Duration>>,
+    /// When the store answered this router although the source reports it as unavailable.
+    store_answered_at: Cell<Option<Duration>>,
+    /// When the store last failed to answer a call of this router.
+    store_silent_at: Cell<Option<Duration>>,
+    /// Routers that are avoided, and until when.
     avoided: RefCell<Vec<(SocketAddr, Duration)>>,
     /// Connections to the source.
     source: RefCell<Option<(SocketAddr, Rc<Pool>)>>,
     /// When the members were last read.
-    located: Cell<Option<Duration>>,
-    /// What was read or heard of each log.
+    members_read_at: Cell<Option<Duration>>,
+    /// Latest records of each log, from the store or the source.
     tails: RefCell<[Tail; LOGS.len()]>,
     /// Newest value of each key of the settings and of the list of servers.
     newest: RefCell<[Newest; 2]>,
-    /// Era of the store that all of that is of, and when it began.
+    /// Era of the store that all of these belong to, and when it began.
     era: Cell<Era>,
-    renewed: Cell<Option<Duration>>,
-    /// Woken when there is news, or another source.
-    news: Notify,
-    /// Notices that were heard or said.
+    era_began_at: Cell<Option<Duration>>,
+    /// Woken when there are updates, or another source.
+    updated: Notify,
+    /// Notices that this router received or announced.
     gossip: RefCell<Gossip>,
-    /// Start of the source's process and the number of its next notice.
-    heard_notices: Cell<(u64, u64)>,
-    /// Number of the next own notice that the source is to be told.
-    told: Cell<u64>,
-    /// Woken when there are notices for the source.
-    tell: Notify,
-    /// The list of servers as this router believes it.
+    /// Incarnation of the source's process and the number of its next notice.
+    next_source_notice: Cell<(u64, u64)>,
+    /// Number of the next notice to forward to the source.
+    next_forwarded: Cell<u64>,
+    /// Woken when there are notices to forward.
+    notices_pending: Notify,
+    /// This router's view of the list of servers.
     view: Cell<Option<View>>,
-    /// The same of the router that this one hears from.
+    /// The view of the source.
     source_view: Cell<Option<View>>,
-    /// Since when the two are known to differ.
-    dispute: Cell<Option<Duration>>,
-    /// Whether the whole list is to be read again.
-    read_all: Cell<bool>,
-    /// When it last was to be.
-    read_all_at: Cell<Option<Duration>>,
-    /// Start of this process, as a random number.
+    /// Since when the two views are known to differ.
+    differs_since: Cell<Option<Duration>>,
+    /// Whether the whole list has to be read again.
+    full_read_wanted: Cell<bool>,
+    /// When that was last requested.
+    full_read_wanted_at: Cell<Option<Duration>>,
+    /// Random number that identifies this process.
     incarnation: std::cell::OnceCell<u64>,
 }
 
 impl Sharing {
-    /// Records of a log from an offset on, and the offset after the last one; none if some are not kept.
+    /// Returns the records of a log from an offset on, and the offset after the last one; none if some are not kept.
     pub fn records_from(&self, log: Log, from: Offset) -> Option<(Vec<LogRecord>, Offset)> {
-        self.tails.borrow()[position(log)?].from(from)
+        self.tails.borrow()[position(log)?].records_from(from)
     }
 
-    /// Notes the generation of the group and the seats of this router.
-    pub fn record_assignment(&self, seat: Assignment) {
-        let generation = seat.generation;
-        if self.joined.replace(generation) != generation {
-            self.news.notify_waiters();
+    /// Records the generation of the group.
+    pub fn record_assignment(&self, assignment: Assignment) {
+        let generation = assignment.generation;
+        if self.joined_generation.replace(generation) != generation {
+            self.updated.notify_waiters();
         }
     }
 
-    /// Generation of the group that some router has heard.
+    /// Generation of the newest known list of members.
     pub fn generation(&self) -> Generation {
         self.roster.borrow().generation
     }
 
-    /// A number of this process that no earlier one had.
+    /// Returns a number that identifies this process and that no earlier one had.
     pub(crate) fn incarnation(&self) -> u64 {
         *self.incarnation.get_or_init(rand::random)
     }
 
-    /// Members of the group, as far as they are known.
+    /// Number of known members of the group.
     pub fn members(&self) -> usize {
         self.roster.borrow().members().len()
     }
 
-    /// Position of this router among the members, and their number, once it is one of them.
+    /// Index of this router among the members, and their number, once it is a member.
     pub fn rank(&self) -> Option<(u32, u32)> {
         self.rank.get()
     }
 
-    /// Whether this router is or was a member of the group, as it heard.
+    /// Whether this router is or was a member of the group, as far as it knows.
     pub fn was_member(&self) -> bool {
         self.was_member.get()
     }
 
-    /// Addresses of the other routers that may serve callers, sorted: members of the group, and those that left it a
-    /// moment ago, as they still answer the callers that they have.
+    /// Returns the addresses of the other routers that may serve callers, sorted: members of the group, and those that
+    /// left it a moment ago, as they still answer their last callers.
     pub fn others(&self, now: Duration) -> Rc<[SocketAddr]> {
         let members = self.others.borrow().clone();
         let mut leaving = self.leaving.borrow_mut();
@@ -194,8 +193,8 @@
     }
 }
 
-/// Drops what was read or heard before the store was restored: its offsets are given out again.
-fn renew(state: &State) {
+/// Drops what was read before the store was restored, as its offsets are assigned again.
+fn drop_former_era(state: &State) {
     let (era, sharing) = (state.store.era(), &state.sharing);
     let before = sharing.era.replace(era);
     if before == era || before == 0 {
@@ -205,10 +204,10 @@
     sharing.newest.borrow_mut().iter_mut().for_each(|newest| newest.end = None);
     sharing.view.set(None);
     sharing.source_view.set(None);
-    sharing.dispute.set(None);
-    sharing.renewed.set(Some(state.now()));
+    sharing.differs_since.set(None);
+    sharing.era_began_at.set(Some(state.now()));
     log::info!("gateway: era={era} before={before} dropped offsets={ends:?}");
-    sharing.news.notify_waiters();
+    sharing.updated.notify_waiters();
     state.store_returned.notify_waiters();
 }
 
@@ -216,7 +215,7 @@
     LOGS.iter().position(|l| *l == log)
 }
 
-/// Where this router gets what the store holds.
+/// Returns where this router reads the store's records from.
 pub fn source(state: &State) -> Source {
     if state.setup.inner.is_none() {
         return Source::Store;
@@ -227,8 +226,8 @@
     sharing.roster.borrow().source(&state.setup.vm, &state.setup.zone, avoid)
 }
 
-/// The router that keeps what all routers have to agree on about `key`, if the members are known; `avoid` says which
-/// ones are passed over.
+/// Returns the router that owns the state shared by all routers about `key`, if the members are known, without those
+/// that `avoid` names.
 pub fn owner(state: &State, key: &str, avoid: impl Fn(SocketAddr) -> bool) -> Option<Member> {
     state
         .sharing
@@ -238,26 +237,26 @@
         .cloned()
 }
 
-/// Whether this router reads the store for others.
+/// Whether this router is the reader, which reads the store for others.
 pub fn is_reader(state: &State) -> bool {
     state.sharing.members() >= MIN_SHARING_ROUTERS && source(state) == Source::Store
 }
 
-/// Whether this router hears from another one.
+/// Whether this router has a source that answers.
 pub fn has_source(state: &State) -> bool {
-    let recently = |at: Duration| state.now() < at + GRACE;
+    let recently = |at: Duration| state.now() < at + SOURCE_TIMEOUT;
     !state.sharing.store_unavailable.get()
         && source(state) != Source::Store
-        && state.sharing.heard.get().is_some_and(recently)
+        && state.sharing.last_answer.get().is_some_and(recently)
 }
 
-/// Pause after a read of the list of servers from the store, where a router that reads alone pauses for
-/// `alone`. The router that reads for others does it twice as often, as what it knows ages on its way.
-fn pause(state: &State, alone: Duration) -> Duration {
+/// Pause after a read of the list of servers from the store, if it is `alone` for a router that reads only for itself.
+/// The reader pauses half as long, as its data ages on the way to others.
+fn read_pause(state: &State, alone: Duration) -> Duration {
     if is_reader(state) { alone / 2 } else { alone }
 }
 
-/// Pause after an answer of another router, among that many.
+/// Pause between two polls of the source, by the number of routers.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -265,27 +264,27 @@
 /// assert_eq!(gateway::shared_read::poll_pause(300), Duration::from_millis(400));
 /// ```
 pub fn poll_pause(routers: u32) -> Duration {
-    PAUSE.mul_f64((f64::from(routers) / CROWD).clamp(1.0, 4.0))
+    MIN_POLL_PAUSE.mul_f64((f64::from(routers) / ROUTERS_AT_MIN_PAUSE).clamp(1.0, 4.0))
 }
 
-/// Waits after a read of the store, or until the whole list is to be read.
+/// Waits after a read of the store, or until the whole list has to be read.
 pub async fn pause_after_read(state: &State, alone: Duration) {
     let wanted = async {
-        while !state.sharing.read_all.get() {
-            state.sharing.news.notified().await;
+        while !state.sharing.full_read_wanted.get() {
+            state.sharing.updated.notified().await;
         }
     };
-    let _ = timeout(pause(state, alone), wanted).await;
+    let _ = timeout(read_pause(state, alone), wanted).await;
 }
 
-/// Records that another router gave, and the offset after the last one it read; waits a moment if there are none.
-/// None if this router has to read the store itself.
+/// Returns the records of the source, and the offset after the last one it read; waits a moment if there are none.
+/// Returns none if this router has to read the store itself.
 pub async fn read_from_source(
     state: &State,
     log: Log,
     from: Offset,
 ) -> Option<(Vec<LogRecord>, Offset)> {
-    renew(state);
+    drop_former_era(state);
     if !has_source(state) {
         return None;
     }
@@ -293,26 +292,26 @@
     if !records.is_empty() {
         return Some((records, end));
     }
-    let _ = timeout(LOOK, state.sharing.news.notified()).await;
+    let _ = timeout(CHECK_INTERVAL, state.sharing.updated.notified()).await;
     state.sharing.records_from(log, from).filter(|_| has_source(state))
 }
 
-/// Keeps what was read from the store for the others; `worth` says which records tell something new.
+/// Caches what was read from the store for other routers; `is_new` says which records have new content.
 pub fn cache_records(
     state: &State,
     log: Log,
     from: Offset,
     records: &[Bytes],
-    worth: impl Fn(&Bytes) -> bool,
+    is_new: impl Fn(&Bytes) -> bool,
 ) {
-    renew(state);
+    drop_former_era(state);
     let Some(at) = position(log) else { return };
-    if state.sharing.tails.borrow_mut()[at].add(from, records, worth, state.now()) {
-        state.sharing.news.notify_waiters();
+    if state.sharing.tails.borrow_mut()[at].add(from, records, is_new, state.now()) {
+        state.sharing.updated.notify_waiters();
     }
 }
 
-/// Up to which offset a log is known, and how long ago that was read from the store, for log lines.
+/// Formats the offset up to which a log is known and the age of that data, for log lines.
 pub fn read_position(state: &State, log: Log) -> String {
     let tails = state.sharing.tails.borrow();
     let tail = position(log).map(|at| &tails[at]);
@@ -322,9 +321,9 @@
     }
 }
 
-/// Keeps the newest values of keys up to the offset `end`, for routers that ask for all of them; `whole` says that the
-/// items are all there are, as the record of a key's end may have been deleted. Of an item that was not `taken` over, as
-/// a newer one is known, the value of before stays: a restored store may hold older ones.
+/// Caches the newest values of keys up to the offset `end`, for routers that request all of them. `whole` says that the
+/// items are complete: the record of a key's deletion may itself have been deleted. An item that was not `taken`,
+/// because a newer one is known, does not replace the former value: a restored store may hold older ones.
 pub fn cache_newest(
     state: &State,
     log: Log,
@@ -333,7 +332,7 @@
     end: Offset,
     whole: bool,
 ) {
-    renew(state);
+    drop_former_era(state);
     let mut newest = state.sharing.newest.borrow_mut();
     let Some(newest) = position(log).and_then(|at| newest.get_mut(at)) else { return };
     newest.end = Some(end);
--- a/crates/gateway/src/shared_read/availability.rs
+++ b/crates/gateway/src/shared_read/availability.rs
@@ -1,4 +1,4 @@
-//! Whether a store that another router says is away answers this one.
+//! Checks whether a store that the source reports as unavailable answers this router.
 
 use std::time::Duration;
 
@@ -6,32 +6,34 @@
 use crate::roster::Source;
 use crate::state::State;
 
-/// Time for which an answer of the store shows that it is there.
-const ANSWERED: Duration = Duration::from_secs(2);
+/// Time for which an answer of the store shows that it is available.
+const ANSWER_VALIDITY: Duration = Duration::from_secs(2);
 
-/// Whether the router that this one hears from says that the store does not answer.
+/// Whether the source reports that the store does not answer.
 pub(super) fn is_reported_unavailable(state: &State) -> bool {
     state.sharing.store_unavailable.get() && source(state) != Source::Store
 }
 
-/// Whether this router may read the store now. While another router says that the store is away, only the calls that
-/// keep the seat go there: they tell as much, and are the cheapest.
+/// Whether this router may read the store now. While the source reports the store as unavailable, only join calls are
+/// sent to it: they show as much, and cost least.
 pub fn may_read_store(state: &State) -> bool {
     !is_reported_unavailable(state)
 }
 
-/// Whether the seat is to be asked for at once, to see whether the store answers this router.
+/// Whether a join call is due at once, to check whether the store answers this router.
 pub fn is_store_check_due(state: &State) -> bool {
-    is_reported_unavailable(state) && state.sharing.check.get().is_some_and(|at| at <= state.now())
+    is_reported_unavailable(state)
+        && state.sharing.store_check_at.get().is_some_and(|at| at <= state.now())
 }
 
-/// Notes that the store answered a call that this router began at `began`. A source that said before that the store is
-/// away is asked to look again; it may be cut off alone, or have missed that the store is back.
+/// Records that the store answered a call that this router sent at `began`. A source that has reported the store as
+/// unavailable is asked to check again: it may be the only router that is cut off, or may not know that the store has
+/// returned.
 pub fn record_store_answer(state: &State, began: Duration) {
-    state.sharing.check.set(None);
+    state.sharing.store_check_at.set(None);
     match is_reported_unavailable(state) {
-        true if state.sharing.reported_unavailable.get() < began => {
-            state.sharing.answered.set(Some(state.now()));
+        true if state.sharing.reported_unavailable_at.get() < began => {
+            state.sharing.store_answered_at.set(Some(state.now()));
         }
         true => {}
         false if state.store_unavailable() => state.store_returned.notify_waiters(),
@@ -39,20 +41,20 @@
     }
 }
 
-/// Notes that the store did not answer a call of this router.
+/// Records that the store did not answer a call of this router.
 pub fn record_store_silence(state: &State) {
-    state.sharing.check.set(None);
-    state.sharing.answered.set(None);
-    state.sharing.silent.set(Some(state.now()));
+    state.sharing.store_check_at.set(None);
+    state.sharing.store_answered_at.set(None);
+    state.sharing.store_silent_at.set(Some(state.now()));
 }
 
-/// Whether the store has not answered this router itself since then. If not, it was away for the router that said so
-/// only, and entries that are gone have not lapsed.
+/// Whether the store failed to answer this router since then. If not, it was unavailable only for the router that
+/// reported it, and entries that are gone have not lapsed.
 pub fn was_store_silent_since(state: &State, since: Duration) -> bool {
-    state.sharing.silent.get().is_some_and(|at| at >= since)
+    state.sharing.store_silent_at.get().is_some_and(|at| at >= since)
 }
 
-/// Whether the store has answered this router since its source said that it is away.
+/// Whether the store has answered this router since the source reported it as unavailable.
 pub(super) fn has_store_answered(state: &State) -> bool {
-    state.sharing.answered.get().is_some_and(|at| state.now() < at + ANSWERED)
+    state.sharing.store_answered_at.get().is_some_and(|at| state.now() < at + ANSWER_VALIDITY)
 }
--- a/crates/gateway/src/shared_read/client.rs
+++ b/crates/gateway/src/shared_read/client.rs
@@ -1,4 +1,4 @@
-//! Asks the source for news, and for all it holds at a start.
+//! Polls the source for updates, and requests a snapshot at the start of the process.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -12,68 +12,70 @@
 use super::availability::has_store_answered;
 use super::forward::receive;
 use super::gossip::Origin;
-use super::members::{adopt, locate};
-use super::page::{LONGEST, Page, Snapshot};
+use super::members::{adopt, refresh};
+use super::page::{MAX_ANSWER_BYTES, Page, Snapshot};
 use super::view::{self, View};
-use super::{LOGS, LOOK, OLD, WAIT, poll_pause, position, renew, source};
+use super::{
+    CHECK_INTERVAL, LOGS, MAX_AGE, MAX_POLL_WAIT, drop_former_era, poll_pause, position, source,
+};
 use crate::pool::Pool;
 use crate::roster::{MAX_DIRECT_ROUTERS, MIN_SHARING_ROUTERS, Source};
 use crate::state::State;
 use crate::store::{Log, Offset};
 
-/// Time another router gets to answer, beyond that for which it may hold an answer back.
-pub(super) const ANSWER: Duration = Duration::from_millis(400);
+/// Time that another router has to answer, in addition to the time for which it may hold an answer back.
+pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for which a router that did not answer is passed over.
-const AVOIDED: Duration = Duration::from_secs(4);
+/// Time for which a router that did not answer is avoided.
+const SOURCE_AVOIDANCE: Duration = Duration::from_secs(4);
 
-/// Time within which a router finds out whether a store that is said to be away answers it.
-const CHECK: Duration = Duration::from_millis(500);
+/// Time within which a router checks whether a store that is reported as unavailable answers it.
+const STORE_CHECK_TIME: Duration = Duration::from_millis(500);
 
-/// Longest wait of a router that has just started for the members. Where all start at once, the group names few of them
-/// for a second; callers wait for none of that.
-const START: Duration = Duration::from_millis(100);
+/// Longest wait for the members at the start of a router. If all routers start at once, the group has few members for a
+/// second; callers do not wait for this.
+const MAX_MEMBERS_WAIT: Duration = Duration::from_millis(100);
 
-/// Longest wait after a restore of the store until another router holds all again.
-const RESTORED: Duration = Duration::from_millis(1200);
+/// Longest wait after a restore of the store until the source has read all records again.
+const MAX_RESTORE_WAIT: Duration = Duration::from_millis(1200);
 
-/// Longest wait for all that another router holds.
-const SNAPSHOT: Duration = Duration::from_millis(250);
+/// Time limit for a snapshot of the source.
+const SNAPSHOT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Asks the source for news as long as the process runs, and reads the members when they have changed.
+/// Polls the source as long as the process runs, and reads the members when they have changed.
 pub async fn run(state: Rc<State>) {
     loop {
-        locate(&state).await;
+        refresh(&state).await;
         let address = match source(&state) {
             Source::Store => {
-                let _ = timeout(LOOK, state.sharing.news.notified()).await;
+                let _ = timeout(CHECK_INTERVAL, state.sharing.updated.notified()).await;
                 continue;
             }
             Source::Reader(address) | Source::Relay(address) => address,
         };
         let pool = pool(&state, address);
-        renew(&state);
+        drop_former_era(&state);
         let (from, era) = (offsets(&state), state.store.era());
-        let limit = WAIT + ANSWER;
-        match timeout(limit, ask(&state, &pool, from)).await {
-            // An answer from before the restore that this router has heard of meanwhile.
+        let limit = MAX_POLL_WAIT + ANSWER_TIMEOUT;
+        match timeout(limit, request_page(&state, &pool, from)).await {
+            // The answer is from before a restore that this router has learned of meanwhile.
             Ok(Ok(page)) if page.era < state.store.era() => {
-                log::debug!("gateway: a page of era {} is left out", page.era);
+                log::debug!("gateway: a page of era {} is ignored", page.era);
             }
             Ok(Ok(page)) if page.era > era => {
                 state.store.adopt_era(page.era);
-                renew(&state);
+                drop_former_era(&state);
                 continue;
             }
-            Ok(Ok(page)) => take(&state, address, page),
-            Ok(Err(why)) => lose(&state, address, &why),
-            Err(_) => lose(&state, address, &format!("no answer within {limit:?}")),
+            Ok(Ok(page)) => apply_page(&state, address, page),
+            Ok(Err(why)) => avoid_source(&state, address, &why),
+            Err(_) => avoid_source(&state, address, &format!("no answer within {limit:?}")),
         }
         sleep(poll_pause(state.routers())).await;
     }
 }
 
-/// Connections to a source.
+/// Returns the connections to a source.
 pub(super) fn pool(state: &State, address: SocketAddr) -> Rc<Pool> {
     let mut source = state.sharing.source.borrow_mut();
     match source.as_ref() {
@@ -88,22 +90,26 @@
     }
 }
 
-/// Offsets from which on records are wanted; all from the first on where nothing is known yet.
+/// Offsets from which on records are requested; zero where nothing is known yet.
 fn offsets(state: &State) -> [Offset; LOGS.len()] {
     let tails = state.sharing.tails.borrow();
     std::array::from_fn(|at| tails[at].end().unwrap_or_default())
 }
 
-async fn ask(state: &State, pool: &Pool, from: [Offset; LOGS.len()]) -> Result<Page, String> {
+async fn request_page(
+    state: &State,
+    pool: &Pool,
+    from: [Offset; LOGS.len()],
+) -> Result<Page, String> {
     let [settings, servers, notices] = from;
     let generation = state.sharing.generation();
-    let (incarnation, heard) = state.sharing.heard_notices.get();
+    let (incarnation, next_notice) = state.sharing.next_source_notice.get();
     let answered = u8::from(has_store_answered(state));
     let list = state.sharing.view.get();
     let list = list.map(|View { end, digest }| format!("&list_end={end}&list={digest}"));
     let path = format!(
         "/tail?settings={settings}&servers={servers}&notices={notices}&generation={generation}\
-         &incarnation={incarnation}&heard={heard}&answered={answered}&era={}{}",
+         &incarnation={incarnation}&heard={next_notice}&answered={answered}&era={}{}",
         state.store.era(),
         list.unwrap_or_default()
     );
@@ -111,14 +117,15 @@
     Page::decode(&body, from).map_err(|e| e.to_string())
 }
 
-/// Body of a router's answer.
+/// Sends a request to another router and returns the body of the answer.
 pub(crate) async fn get(pool: &Pool, path: &str, body: Bytes) -> Result<Bytes, String> {
     let mut link = pool.take().await.map_err(|e| e.to_string())?;
     let mut request = Request::new(Full::new(body));
     *request.uri_mut() = path.parse().expect("names and digits");
     let answer = link.sender.send_request(request).await.map_err(|e| e.to_string())?;
     let (head, body) = answer.into_parts();
-    let body = Limited::new(body, LONGEST).collect().await.map_err(|e| e.to_string())?.to_bytes();
+    let body =
+        Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|e| e.to_string())?.to_bytes();
     pool.keep(link, &head.headers);
     match head.status {
         StatusCode::OK => Ok(body),
@@ -126,91 +133,92 @@
     }
 }
 
-/// Takes a source's answer over.
-fn take(state: &Rc<State>, address: SocketAddr, page: Page) {
+/// Applies an answer of the source.
+fn apply_page(state: &Rc<State>, address: SocketAddr, page: Page) {
     let (sharing, now) = (&state.sharing, state.now());
     if let Some(roster) = page.roster {
         adopt(state, roster);
     }
-    sharing.heard_notices.set((page.incarnation, page.next_notice));
+    sharing.next_source_notice.set((page.incarnation, page.next_notice));
     receive(state, page.notices, Origin::Source);
-    // Notices come by the way; those in the store are of routers that have no source.
+    // Notices arrive as gossip; those in the store are from routers that have no source.
     let timely = page.parts.iter().zip(LOGS).filter(|(_, log)| *log != Log::Notices);
     let oldest = timely.filter_map(|(part, _)| part.age()).max().unwrap_or_default();
-    let told = sharing.store_unavailable.replace(page.store_unavailable);
+    let reported = sharing.store_unavailable.replace(page.store_unavailable);
     if page.store_unavailable {
-        // It says so at once when the store is back.
+        // The source reports at once when the store has returned.
         state.record_store_failure(Log::Settings);
-        if !told {
-            sharing.reported_unavailable.set(now);
-            sharing.check.set(Some(now + CHECK.mul_f64(rand::random())));
+        if !reported {
+            sharing.reported_unavailable_at.set(now);
+            sharing.store_check_at.set(Some(now + STORE_CHECK_TIME.mul_f64(rand::random())));
         }
         if has_store_answered(state) {
             sharing.store_unavailable.set(false);
             state.record_store_answer();
-            lose(state, address, "the store answers this router");
+            avoid_source(state, address, "the store answers this router");
         }
-        sharing.news.notify_waiters();
+        sharing.updated.notify_waiters();
         return;
     }
-    sharing.answered.set(None);
-    if oldest > OLD {
-        return lose(state, address, &format!("what it knows is {oldest:?} old"));
+    sharing.store_answered_at.set(None);
+    if oldest > MAX_AGE {
+        return avoid_source(state, address, &format!("its data is {oldest:?} old"));
     }
-    sharing.heard.set(Some(now));
+    sharing.last_answer.set(Some(now));
     state.record_store_answer();
-    let (mut news, list) = (false, page.view);
-    let restored = sharing.renewed.get().is_some_and(|at| now < at + RESTORED);
+    let (mut updated, list) = (false, page.view);
+    let restored = sharing.era_began_at.get().is_some_and(|at| now < at + MAX_RESTORE_WAIT);
     for (tail, part) in sharing.tails.borrow_mut().iter_mut().zip(page.parts) {
         match part.age() {
             Some(age) => {
                 let (from, end) = (part.from, part.end);
-                news |= tail.take(from, part.log_records(), end, now.saturating_sub(age), now);
+                updated |= tail.append(from, part.log_records(), end, now.saturating_sub(age), now);
             }
-            // More may have been read since the question was asked.
+            // More may have been read since the request was sent.
             None if tail.end().is_some_and(|end| end != part.from) => {}
-            // The source is about to read all again.
+            // The source is about to read all records again.
             None if restored => {}
             None => tail.clear(),
         }
     }
-    if news {
-        sharing.news.notify_waiters();
+    if updated {
+        sharing.updated.notify_waiters();
     }
-    view::hear_source(state, list);
+    view::record_source_view(state, list);
 }
 
-/// Passes over a router that gave no useful answer.
-fn lose(state: &State, address: SocketAddr, why: &str) {
+/// Avoids a router that gave no usable answer.
+fn avoid_source(state: &State, address: SocketAddr, why: &str) {
     log::info!("gateway: source lost address={address} why={why}");
     state.metrics.source_lost();
     let (now, sharing) = (state.now(), &state.sharing);
     sharing.source.borrow_mut().take();
     let mut avoided = sharing.avoided.borrow_mut();
     avoided.retain(|(a, until)| now < *until && *a != address);
-    avoided.push((address, now + AVOIDED));
+    avoided.push((address, now + SOURCE_AVOIDANCE));
     drop(avoided);
-    sharing.news.notify_waiters();
+    sharing.updated.notify_waiters();
 }
 
-/// All that another router holds of a log, for a router that has just started. None if it has to read the store.
+/// Requests all records that the source holds of a log, for a router that has just started. Returns none if this router
+/// has to read the store.
 ///
-/// After a restore of the store, `patient`, it waits until the other router has read all again: hundreds that read the store
-/// at once would be turned away.
-pub async fn snapshot(state: &State, log: Log, patient: bool) -> Option<Snapshot> {
-    let until = Instant::now() + if patient { RESTORED } else { Duration::ZERO };
+/// With `wait_for_restore`, after a restore of the store, it waits until the source has read all records again: the
+/// store would refuse hundreds of routers that read it at once.
+pub async fn snapshot(state: &State, log: Log, wait_for_restore: bool) -> Option<Snapshot> {
+    let until = Instant::now() + if wait_for_restore { MAX_RESTORE_WAIT } else { Duration::ZERO };
     loop {
-        let snapshot = ask_all(state, log).await;
-        if snapshot.is_some() || Instant::now() >= until || giver(state).is_none() {
+        let snapshot = request_snapshot(state, log).await;
+        if snapshot.is_some() || Instant::now() >= until || snapshot_source(state).is_none() {
             return snapshot;
         }
-        sleep(LOOK / 3).await;
+        sleep(CHECK_INTERVAL / 3).await;
     }
 }
 
-/// The router that is asked for all it holds. Those that pass on to others have it from the store: all may have started at
-/// the same moment.
-fn giver(state: &State) -> Option<SocketAddr> {
+/// Returns the router to request a snapshot from. Relays read the store instead, as all routers may have started at the
+/// same moment.
+fn snapshot_source(state: &State) -> Option<SocketAddr> {
     match source(state) {
         Source::Relay(address) => Some(address),
         Source::Reader(address) if state.sharing.members() <= MAX_DIRECT_ROUTERS => Some(address),
@@ -218,19 +226,20 @@
     }
 }
 
-async fn ask_all(state: &State, log: Log) -> Option<Snapshot> {
-    let known = async {
+async fn request_snapshot(state: &State, log: Log) -> Option<Snapshot> {
+    let has_members = async {
         while state.sharing.members() < MIN_SHARING_ROUTERS {
-            state.sharing.news.notified().await;
+            state.sharing.updated.notified().await;
         }
     };
-    if state.setup.inner.is_none() || timeout(START, known).await.is_err() {
+    if state.setup.inner.is_none() || timeout(MAX_MEMBERS_WAIT, has_members).await.is_err() {
         return None;
     }
-    let address = giver(state)?;
+    let address = snapshot_source(state)?;
     let pool = pool(state, address);
-    let asked = timeout(SNAPSHOT, get(&pool, &format!("/all?log={log}"), Bytes::new())).await;
-    let body = match asked {
+    let answer =
+        timeout(SNAPSHOT_TIMEOUT, get(&pool, &format!("/all?log={log}"), Bytes::new())).await;
+    let body = match answer {
         Ok(Ok(body)) => body,
         other => {
             log::info!("gateway: no snapshot log={log} address={address} why={other:?}");
@@ -244,11 +253,17 @@
         }
         Ok(snapshot) => {
             state.store.adopt_era(snapshot.era);
-            renew(state);
+            drop_former_era(state);
             log::info!("gateway: snapshot log={log} address={address} end={}", snapshot.end);
             let at = position(log)?;
             let now = state.now();
-            state.sharing.tails.borrow_mut()[at].take(snapshot.end, vec![], snapshot.end, now, now);
+            state.sharing.tails.borrow_mut()[at].append(
+                snapshot.end,
+                vec![],
+                snapshot.end,
+                now,
+                now,
+            );
             Some(snapshot)
         }
         Err(why) => {
--- a/crates/gateway/src/shared_read/forward.rs
+++ b/crates/gateway/src/shared_read/forward.rs
@@ -1,4 +1,4 @@
-//! Notices on their way from router to router.
+//! Forwards notices from router to router.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tokio::time::{sleep, timeout};
 
-use super::client::{ANSWER, get, pool};
+use super::client::{ANSWER_TIMEOUT, get, pool};
 use super::gossip::Origin;
 use super::page::NoticeBatch;
 use super::source;
@@ -14,33 +14,36 @@
 use crate::roster::{MIN_SHARING_ROUTERS, Source};
 use crate::state::State;
 
-/// Time in which notices are gathered before the source is told.
-const GATHER: Duration = Duration::from_millis(20);
+/// Time for which notices are gathered before they are forwarded to the source.
+const GATHER_TIME: Duration = Duration::from_millis(20);
 
-/// Takes notices of other routers over, and passes on those that are news.
+/// Applies notices of other routers, and forwards those that are new.
 pub(super) fn receive(state: &Rc<State>, notices: Vec<Vec<u8>>, from: Origin) {
     for notice in notices {
         let notice = Bytes::from(notice);
         if keep(state, notice.clone(), from) {
             match Notice::decode(&notice) {
                 Some(notice) => notice::receive(state, &notice),
-                None => log::debug!("gateway: a notice of another version is passed on unread"),
+                None => {
+                    log::debug!("gateway: a notice of another version is forwarded, not decoded")
+                }
             }
         }
     }
 }
 
-/// Keeps a notice and wakes those that pass it on; whether it is news.
+/// Keeps a notice and wakes the tasks that forward it; returns false if it is a duplicate.
 fn keep(state: &State, notice: Bytes, from: Origin) -> bool {
-    let news = state.sharing.gossip.borrow_mut().insert(notice, from, state.now());
-    if news {
-        state.sharing.news.notify_waiters();
-        state.sharing.tell.notify_one();
+    let is_new = state.sharing.gossip.borrow_mut().insert(notice, from, state.now());
+    if is_new {
+        state.sharing.updated.notify_waiters();
+        state.sharing.notices_pending.notify_one();
     }
-    news
+    is_new
 }
 
-/// Tells the other routers by way of those that read for others; false if there are none.
+/// Sends a notice to the other routers by way of the source and the routers downstream; returns false if the group is
+/// too small for that.
 pub fn publish(state: &State, notice: &Notice) -> bool {
     if state.sharing.members() < MIN_SHARING_ROUTERS || state.setup.inner.is_none() {
         return false;
@@ -49,24 +52,24 @@
     true
 }
 
-/// Tells the source what this router has heard or said, as long as the process runs.
+/// Forwards the notices of this router and those downstream to the source, as long as the process runs.
 pub async fn forward_notices(state: Rc<State>) {
     loop {
-        state.sharing.tell.notified().await;
-        sleep(GATHER).await;
+        state.sharing.notices_pending.notified().await;
+        sleep(GATHER_TIME).await;
         let (notices, next) =
-            state.sharing.gossip.borrow().from_downstream(state.sharing.told.get());
-        state.sharing.told.set(next);
+            state.sharing.gossip.borrow().from_downstream(state.sharing.next_forwarded.get());
+        state.sharing.next_forwarded.set(next);
         let (Source::Reader(address) | Source::Relay(address)) = source(&state) else { continue };
         if notices.is_empty() {
             continue;
         }
         let notices = notices.iter().map(|notice| notice.to_vec()).collect();
-        let told = NoticeBatch::new(notices).encode();
+        let batch = NoticeBatch::new(notices).encode();
         let pool = pool(&state, address);
-        match timeout(ANSWER, get(&pool, "/told", told)).await {
+        match timeout(ANSWER_TIMEOUT, get(&pool, "/told", batch)).await {
             Ok(Ok(_)) => {}
-            other => log::info!("gateway: notices not told address={address} why={other:?}"),
+            other => log::info!("gateway: notices not forwarded address={address} why={other:?}"),
         }
     }
 }
--- a/crates/gateway/src/shared_read/members.rs
+++ b/crates/gateway/src/shared_read/members.rs
@@ -1,4 +1,4 @@
-//! Who the members of the group are.
+//! Reads the members of the group and records their changes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,45 +9,45 @@
 use crate::store::{Call, Reply};
 
 /// Shortest time between two reads of the members.
-const LOCATE: Duration = Duration::from_millis(400);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time without an answer of any source after which a router reads the members itself.
-const LOST: Duration = Duration::from_secs(3);
+const SOURCE_LOSS_TIME: Duration = Duration::from_secs(3);
 
-/// Reads the members, if this router has to: once at its start, when the group has changed and it reads for others, or
-/// when no source has answered for a while.
-pub(super) async fn locate(state: &State) {
+/// Reads the members, if this router has to: once at its start, when the group has changed and this router is the
+/// reader, or when no source has answered for a while.
+pub(super) async fn refresh(state: &State) {
     let (now, sharing) = (state.now(), &state.sharing);
-    let joined = sharing.joined.get();
+    let joined = sharing.joined_generation.get();
     if joined == 0 || state.setup.inner.is_none() {
         return;
     }
     let changed = joined > sharing.generation();
-    let lost =
-        sharing.heard.get().is_none_or(|at| at + LOST < now) && !sharing.store_unavailable.get();
+    let lost = sharing.last_answer.get().is_none_or(|at| at + SOURCE_LOSS_TIME < now)
+        && !sharing.store_unavailable.get();
     let few = sharing.members() < MIN_SHARING_ROUTERS;
-    let due = match sharing.located.get() {
+    let due = match sharing.members_read_at.get() {
         None => true,
-        Some(at) if changed && (few || is_reader(state)) => at + LOCATE < now,
-        Some(at) => changed && lost && at + LOST < now,
+        Some(at) if changed && (few || is_reader(state)) => at + MIN_READ_INTERVAL < now,
+        Some(at) => changed && lost && at + SOURCE_LOSS_TIME < now,
     };
     if !due {
         return;
     }
-    sharing.located.set(Some(now));
+    sharing.members_read_at.set(Some(now));
     match state.store.call(Call::Members).await {
         Ok(Reply::Members(names)) => adopt(state, Roster::new(joined, names)),
         other => log::debug!("gateway: members are not known: {other:?}"),
     }
 }
 
-/// Takes a newer list of members over.
+/// Adopts a newer list of members.
 pub(super) fn adopt(state: &State, roster: Roster) {
     if roster.generation <= state.sharing.generation() {
         return;
     }
     let before = source(state);
-    note_members(state, &roster);
+    record_members(state, &roster);
     *state.sharing.roster.borrow_mut() = roster;
     let after = source(state);
     if before != after {
@@ -57,10 +57,10 @@
             state.sharing.generation()
         );
     }
-    state.sharing.news.notify_waiters();
+    state.sharing.updated.notify_waiters();
 }
 
-fn note_members(state: &State, roster: &Roster) {
+fn record_members(state: &State, roster: &Roster) {
     let members = roster.members();
     let rank = members.iter().position(|member| member.vm == state.setup.vm);
     state.sharing.rank.set(rank.map(|rank| (rank as u32, members.len() as u32)));
--- a/crates/gateway/src/shared_read/page.rs
+++ b/crates/gateway/src/shared_read/page.rs
@@ -1,4 +1,4 @@
-//! What one router answers another that asks for what the store holds.
+//! Messages between routers that share reads of the store.
 
 use std::time::Duration;
 
@@ -16,13 +16,13 @@
 /// Version of a page. Routers of another version read the store until all are upgraded.
 const VERSION: u16 = 5;
 
-/// Version of a snapshot, apart from those of pages, so that one is never taken for the other.
-const SNAPSHOT: u16 = 0x101;
+/// Version of a snapshot, distinct from those of pages, so that the two can't be confused.
+const SNAPSHOT_VERSION: u16 = 0x101;
 
-/// Longest answer that is read. Fleet settings take up to a megabyte.
-pub(super) const LONGEST: usize = 8 << 20;
+/// Longest answer that is read, in bytes. Fleet settings take up to a megabyte.
+pub(super) const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// An answer.
+/// Answer to a poll.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     version: u16,
@@ -32,47 +32,47 @@
     pub store_unavailable: bool,
     /// The members of the group, if they have changed.
     pub roster: Option<Roster>,
-    /// One for each of [`LOGS`].
+    /// One part for each of [`LOGS`].
     pub parts: Vec<Part>,
-    /// The list of servers as this router believes it.
+    /// The sender's view of the list of servers.
     pub view: Option<View>,
-    /// Notices since the one asked for.
+    /// Notices from the requested one on.
     pub notices: Vec<Vec<u8>>,
-    /// Start of the process that numbers them.
+    /// Incarnation of the process that numbers them.
     pub incarnation: u64,
     /// Number of the next notice.
     pub next_notice: Number,
 }
 
-/// What is new in one log.
+/// Updates of one log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Part {
-    /// First offset asked for.
+    /// First offset requested.
     pub from: Offset,
     /// Offset after the last record read.
     pub end: Offset,
-    /// How long ago the store was read, in milliseconds; none if the records asked for are not kept.
+    /// Time since the store was read, in milliseconds; none if the requested records are not kept.
     pub age_ms: Option<u64>,
-    /// Records that tell something new.
+    /// Records with new content.
     pub records: Vec<(Offset, Vec<u8>)>,
 }
 
 /// Why a page is not used.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Fault {
-    /// It can't be read.
+    /// It can't be decoded.
     #[display("its answer can't be read: {_0}")]
     Unreadable(#[error(not(source))] String),
-    /// Another release answers otherwise.
+    /// It has the version of another release.
     #[display("its answer has version {_0}")]
     Version(#[error(not(source))] u16),
-    /// It names records that were not asked for, or not in order.
+    /// It holds records that were not requested, or not in order.
     #[display("its answer does not follow on what is known")]
     Discontinuous,
 }
 
 impl Page {
-    /// A page of this version without notices.
+    /// Creates a page of this version without notices.
     pub fn new(store_unavailable: bool, roster: Option<Roster>, parts: Vec<Part>) -> Page {
         let (notices, incarnation, next_notice) = (Vec::new(), 0, 0);
         let (version, era, view) = (VERSION, 0, None);
@@ -89,12 +89,12 @@
         }
     }
 
-    /// The bytes of the answer.
+    /// Encodes the answer.
     pub fn encode(&self) -> Bytes {
         Bytes::from(postcard::to_allocvec(self).expect("plain fields"))
     }
 
-    /// Reads an answer to a question for records from these offsets on.
+    /// Decodes the answer to a request for records from these offsets on.
     ///
     /// ```
     /// use gateway::shared_read::page::{Fault, Page, Part};
@@ -118,7 +118,7 @@
 }
 
 impl Part {
-    /// Whether it holds records from `from` on, in order and none beyond its end.
+    /// Whether the part holds records from `from` on, in order and none beyond its end.
     fn follows(&self, from: Offset) -> bool {
         let offsets = || self.records.iter().map(|(offset, _)| *offset);
         let ordered = offsets().zip(offsets().skip(1)).all(|(a, b)| a < b);
@@ -126,18 +126,18 @@
         self.from == from && self.end >= from && ordered && within
     }
 
-    /// How long ago the store was read.
+    /// Time since the store was read.
     pub fn age(&self) -> Option<Duration> {
         self.age_ms.map(Duration::from_millis)
     }
 
-    /// Its records.
+    /// Returns the records.
     pub fn log_records(self) -> Vec<LogRecord> {
         self.records.into_iter().map(|(offset, record)| (offset, Bytes::from(record))).collect()
     }
 }
 
-/// All that a router holds of one log, for one that has just started.
+/// All records that a router holds of one log, for a router that has just started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     version: u16,
@@ -145,33 +145,33 @@
     pub era: Era,
     /// Offset after the last record read.
     pub end: Offset,
-    /// The newest value of each key; or the newest records, with no keys.
+    /// The newest value of each key, or the newest records without keys.
     pub items: Vec<(String, Vec<u8>)>,
 }
 
 impl Snapshot {
-    /// A snapshot of this version.
+    /// Creates a snapshot of this version.
     pub fn new(era: Era, end: Offset, items: Vec<(String, Vec<u8>)>) -> Snapshot {
-        Snapshot { version: SNAPSHOT, era, end, items }
+        Snapshot { version: SNAPSHOT_VERSION, era, end, items }
     }
 
-    /// The bytes of the answer.
+    /// Encodes the answer.
     pub fn encode(&self) -> Bytes {
         Bytes::from(postcard::to_allocvec(self).expect("plain fields"))
     }
 
-    /// Reads an answer.
+    /// Decodes an answer.
     pub fn decode(bytes: &[u8]) -> Result<Snapshot, Fault> {
         let unreadable = |e: postcard::Error| Fault::Unreadable(e.to_string());
         let (version, _) = postcard::take_from_bytes::<u16>(bytes).map_err(unreadable)?;
         match version {
-            SNAPSHOT => postcard::from_bytes(bytes).map_err(unreadable),
+            SNAPSHOT_VERSION => postcard::from_bytes(bytes).map_err(unreadable),
             version => Err(Fault::Version(version)),
         }
     }
 }
 
-/// Notices that one router tells another one.
+/// Notices that one router forwards to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NoticeBatch {
     version: u16,
@@ -180,20 +180,20 @@
 }
 
 impl NoticeBatch {
-    /// Notices of this version.
+    /// Creates a batch of this version.
     pub fn new(notices: Vec<Vec<u8>>) -> NoticeBatch {
         NoticeBatch { version: VERSION, notices }
     }
 
-    /// The bytes of the question.
+    /// Encodes the request.
     pub fn encode(&self) -> Bytes {
         Bytes::from(postcard::to_allocvec(self).expect("plain fields"))
     }
 
-    /// Reads them.
+    /// Decodes a request.
     pub fn decode(bytes: &[u8]) -> Result<NoticeBatch, Fault> {
         let unreadable = |e: postcard::Error| Fault::Unreadable(e.to_string());
-        let told: NoticeBatch = postcard::from_bytes(bytes).map_err(unreadable)?;
-        if told.version == VERSION { Ok(told) } else { Err(Fault::Version(told.version)) }
+        let batch: NoticeBatch = postcard::from_bytes(bytes).map_err(unreadable)?;
+        if batch.version == VERSION { Ok(batch) } else { Err(Fault::Version(batch.version)) }
     }
 }
