--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -126,7 +126,7 @@
         let ended = probe::refuses(&peer).await;
         state.metrics.run_broken(ended);
         if let Line::Written(left_out) =
-            state.losses.borrow_mut().take(state.now(), MAX_LOSS_LINES_PER_S)
+            state.broken_run_lines.borrow_mut().take(state.now(), MAX_LOSS_LINES_PER_S)
         {
             log::info!(
                 "gateway: request={id} run=broken server={} server_ended={ended} events={events} content={} \
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -234,7 +234,7 @@
         }
         Err(reason) => {
             let line =
-                state.refusals.borrow_mut().take(state.now(), logging::MAX_REFUSAL_LINES_PER_S);
+                state.refusal_lines.borrow_mut().take(state.now(), logging::MAX_REFUSAL_LINES_PER_S);
             if let Line::Written(left_out) = line {
                 log::info!(
                     "gateway: request={id} outcome=refused why={reason} left_out={left_out}"
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -209,7 +209,7 @@
 /// Requests permits for those servers of a service that have limits and to which `suits` applies, as soon as a request
 /// is due, and waits up to `ANSWER_TIMEOUT` for the replies.
 pub async fn request_permits(state: &Rc<State>, service: &str, suits: impl Fn(&Peer) -> bool) {
-    let mut peers = state.of(service);
+    let mut peers = state.peers_of(service);
     peers.retain(|p| p.limited.per_s().is_some() && p.ready() && suits(p));
     let until = Instant::now() + ANSWER_TIMEOUT;
     for peer in peers {
@@ -231,7 +231,7 @@
 /// The response to a request that exceeds the limits of a service's servers.
 pub fn refuse(state: &State, service: &str) -> Response<Body> {
     let (now, routers) = (state.now(), state.routers());
-    let peers = state.of(service);
+    let peers = state.peers_of(service);
     let times = peers.iter().filter_map(|p| p.limited.retry_after(routers, now));
     answer::own_after(Reason::Limited, times.min())
 }
@@ -262,7 +262,7 @@
     let free_age = last.map_or(Duration::ZERO, |last| now.saturating_sub(last));
     let ask = Request { limit: limit.0, free, free_age, want: peer.limited.waiting.get() };
     let avoid = |address| state.neighbours.avoids(address, now);
-    match shared_read::keeper(state, &id, avoid) {
+    match shared_read::owner(state, &id, avoid) {
         // Without a known owner, each router takes an equal share.
         None => {
             let limit = ask.limit.max(MIN_LIMIT) / f64::from(state.routers());
@@ -326,7 +326,7 @@
 /// Grants permits from a ledger that this router owns.
 fn grant(state: &State, server: &str, router: &str, ask: Request) -> Grant {
     let now = state.now();
-    let mut ledgers = state.keeper.ledgers.borrow_mut();
+    let mut ledgers = state.ledgers.ledgers.borrow_mut();
     ledgers.retain(|(_, ledger)| ledger.last_request().is_some_and(|at| now < at + LEDGER_TTL));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -103,7 +103,7 @@
 /// Whether a retry of a service is available for a need.
 pub fn is_available(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    state.repeats.account(service, need).borrower.borrow_mut().available(now) > 0
+    state.retries.account(service, need).borrower.borrow_mut().available(now) > 0
         || state.budget(service, |budget| budget.left_for(need, now, routers)) > 0
 }
 
@@ -115,18 +115,18 @@
     }
     let now = state.now();
     let others = state.sharing.others(now);
-    state.repeats.account(service, need).borrower.borrow_mut().may_ask(&others, now)
+    state.retries.account(service, need).borrower.borrow_mut().may_ask(&others, now)
 }
 
 /// Takes one retry, if one is available.
 pub fn take(state: &State, service: &str, need: Need) -> bool {
     let (now, routers) = (state.now(), state.routers());
-    let taken = state.repeats.account(service, need).borrower.borrow_mut().take(now)
+    let taken = state.retries.account(service, need).borrower.borrow_mut().take(now)
         || state.budget(service, |budget| budget.take_for(need, now, routers));
     match taken {
         true => heavy::note_use(state, service),
         false => {
-            state.repeats.refused.set(state.repeats.refused.get() + 1);
+            state.retries.refused.set(state.retries.refused.get() + 1);
             state.metrics.budget_empty();
         }
     }
@@ -135,7 +135,7 @@
 
 /// Waits until a retry is available, other routers have none, or `MAX_BORROW_WAIT` has passed.
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
-    let account = state.repeats.account(service, need);
+    let account = state.retries.account(service, need);
     let until = Instant::now() + MAX_BORROW_WAIT;
     let _waits = Counted::new(&account.waiting);
     while !is_available(state, service, need) {
@@ -195,7 +195,7 @@
     }
     account.asking.set(false);
     account.answered.notify_waiters();
-    if let Line::Written(left_out) = state.repeats.lines.borrow_mut().take(began, MAX_LINES_PER_S) {
+    if let Line::Written(left_out) = state.retries.lines.borrow_mut().take(began, MAX_LINES_PER_S) {
         let (refused, took) = (round.want(), state.now().saturating_sub(began));
         log::info!(
             "gateway: repeats service={service} need={need:?} part={part} wanted={wanted} borrowed={} \
@@ -223,7 +223,7 @@
     match loan {
         Some(loan) => {
             borrower.receive(&ask, loan, asked, now);
-            state.repeats.borrowed.set(state.repeats.borrowed.get() + u64::from(loan.lent));
+            state.retries.borrowed.set(state.retries.borrowed.get() + u64::from(loan.lent));
         }
         None => {
             log::info!(
@@ -239,7 +239,7 @@
 
 /// Metrics text: this router's shares of the budgets, what is left of them, and loans.
 pub fn page(state: &State) -> String {
-    let (now, routers, repeats) = (state.now(), state.routers(), &state.repeats);
+    let (now, routers, repeats) = (state.now(), state.routers(), &state.retries);
     let mut text = format!(
         "hyssop_repeats_lent_total {}\nhyssop_repeats_borrowed_total {}\nhyssop_repeats_refused_total {}\n",
         repeats.lent.get(),
--- a/crates/gateway/src/retries/datagram.rs
+++ b/crates/gateway/src/retries/datagram.rs
@@ -78,7 +78,7 @@
             );
         }
     };
-    state.repeats.endpoint.socket.get_or_init(|| socket.clone());
+    state.retries.endpoint.socket.get_or_init(|| socket.clone());
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
@@ -94,7 +94,7 @@
             log::debug!("gateway: datagram from {from} ignored: not a member of the group");
             continue;
         }
-        state.repeats.mark_alive(from);
+        state.retries.mark_alive(from);
         match postcard::from_bytes(&buffer[..length]) {
             Ok(Datagram::Ask(question)) if question.version == VERSION => {
                 receive_request(&state, question, from).await;
@@ -132,7 +132,7 @@
 }
 
 fn receive_reply(state: &State, answer: &LoanReply, from: SocketAddr) {
-    let mut open = state.repeats.endpoint.open.borrow_mut();
+    let mut open = state.retries.endpoint.open.borrow_mut();
     let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
     if let Some(at) = found {
         let (_, _, waits) = open.swap_remove(at);
@@ -144,7 +144,7 @@
 
 async fn send(state: &State, datagram: &Datagram, to: SocketAddr) -> io::Result<()> {
     let bytes = postcard::to_allocvec(datagram).expect("plain fields");
-    match state.repeats.endpoint.socket.get() {
+    match state.retries.endpoint.socket.get() {
         Some(socket) => socket.send_to(&bytes, to).await.map(drop),
         None => Err(io::ErrorKind::NotConnected.into()),
     }
@@ -158,7 +158,7 @@
     ask: &Request<SocketAddr>,
     limit: Duration,
 ) -> Option<Loan> {
-    let (endpoint, to) = (&state.repeats.endpoint, ask.lenders[0]);
+    let (endpoint, to) = (&state.retries.endpoint, ask.lenders[0]);
     // Ids begin at the incarnation, so that a late reply to the previous process matches no request of this one.
     let id =
         state.sharing.incarnation().wrapping_add(endpoint.next.replace(endpoint.next.get() + 1));
--- a/crates/gateway/src/retries/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -122,7 +122,7 @@
             Err(why) => log::info!("gateway: repeats not taken_over why={why}"),
         }
         sleep(START_RETRY_DELAY).await;
-        while state.store_away() {
+        while state.store_unavailable() {
             sleep(START_RETRY_DELAY).await;
         }
     };
@@ -137,7 +137,7 @@
             for (service, handover) in &services {
                 state.budget(service, |budget| budget.take_over(handover, gap));
             }
-            state.repeats.handover.taken.set(true);
+            state.retries.handover.taken.set(true);
             let used: usize = services.iter().map(|(_, handover)| handover.used.len()).sum();
             log::info!("gateway: repeats taken_over used={used} gap={gap:?}");
         }
@@ -152,7 +152,7 @@
 async fn record_start(state: &State) -> Result<Vec<Record>, Fault> {
     let (vm, process) = (state.setup.vm.clone(), state.sharing.incarnation());
     let end = append(state, &Record::Start { vm: vm.clone(), process }, None).await?;
-    state.repeats.handover.started.set(Some((end, state.store.era())));
+    state.retries.handover.started.set(Some((end, state.store.era())));
     let own = end.saturating_sub(1);
     for from in READ_BACK.map(|back| own.saturating_sub(back)) {
         let count = (own - from) as usize;
@@ -190,7 +190,7 @@
 
 /// Ends the use of retries, and hands over to the next process.
 pub async fn hand_over(state: &State) {
-    state.repeats.handover.ended.set(true);
+    state.retries.handover.ended.set(true);
     let Some(services) = state.close_budgets() else {
         return log::info!(
             "gateway: repeats not handed_over why=this process has started only recently"
@@ -207,7 +207,7 @@
 }
 
 async fn write_end(state: &State, services: Vec<(String, Handover)>) -> Result<(), Fault> {
-    let started = state.repeats.handover.started.get();
+    let started = state.retries.handover.started.get();
     let mut at = match started.filter(|(_, era)| *era == state.store.era()) {
         Some((at, _)) => at,
         None => rerecord_start(state).await?,
@@ -223,7 +223,7 @@
     loop {
         match append(state, &record, Some(at)).await {
             Ok(_) => return Ok(()),
-            Err(Fault::Moved { .. }) => {}
+            Err(Fault::EndMismatch { .. }) => {}
             Err(fault) => return Err(fault),
         }
         at = match after_others(state, at).await {
@@ -236,12 +236,12 @@
 /// Appends the start record again, because it has been deleted or was never written. Returns the offset after it.
 async fn rerecord_start(state: &State) -> Result<Offset, Fault> {
     let (before, own) = (record_start(state).await?, state.sharing.incarnation());
-    let started = state.repeats.handover.started.get();
+    let started = state.retries.handover.started.get();
     match (before.last(), started) {
         // Another process has started since, which does not know that this one still runs.
-        (Some(last), _) if last.process() != own => Err(Fault::Moved { end: None }),
+        (Some(last), _) if last.process() != own => Err(Fault::EndMismatch { end: None }),
         (_, Some((end, _))) => Ok(end),
-        (_, None) => Err(Fault::Moved { end: None }),
+        (_, None) => Err(Fault::EndMismatch { end: None }),
     }
 }
 
@@ -250,7 +250,7 @@
     let vm = state.setup.vm.clone();
     match state.store.call(Call::ReadOwn { vm: vm.clone(), from }).await? {
         Reply::Records(records, _) if records.iter().any(|r| Record::decode(r, &vm).is_some()) => {
-            Err(Fault::Moved { end: None })
+            Err(Fault::EndMismatch { end: None })
         }
         Reply::Records(records, _) => Ok(from + records.len() as Offset),
         other => Err(Fault::Unreadable(format!("{other:?}"))),
--- a/crates/gateway/src/retries/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -31,19 +31,19 @@
 pub(super) fn note_use(state: &State, service: &str) {
     let (now, routers) = (state.now(), state.routers());
     let recent = |reported: Duration| now < reported + REPORT_INTERVAL;
-    if state.repeats.heavy.reported.get().is_some_and(recent)
+    if state.retries.heavy.reported.get().is_some_and(recent)
         || !state.budget(service, |budget| budget.is_heavy(now, routers))
     {
         return;
     }
-    state.repeats.heavy.reported.set(Some(now));
+    state.retries.heavy.reported.set(Some(now));
     log::info!("gateway: repeats service={service} heavy use reported");
     state.announce(Notice::Heavy { at_ms: clock::wall().as_millis() as u64 });
 }
 
 /// Records a report of heavy use.
 pub fn receive_heavy_use(state: &State) {
-    state.repeats.heavy.reported.set(Some(state.now()));
+    state.retries.heavy.reported.set(Some(state.now()));
 }
 
 /// Records a report that was written to the store at `at_ms` of Unix time, unless it has expired.
@@ -56,7 +56,7 @@
 
 /// Records that all reports from before the start of this process have been read.
 pub fn finish_replay(state: &State) {
-    let heavy = &state.repeats.heavy;
+    let heavy = &state.retries.heavy;
     let before = if heavy.reported.get().is_some() { Predecessor::Unknown } else { Predecessor::Light };
     heavy.before.set(before);
     log::info!("gateway: repeats before={before:?}");
@@ -68,7 +68,7 @@
     let member = state.sharing.rank().is_some() || state.stopping.get().is_some();
     match () {
         () if state.setup.first_start => Predecessor::First,
-        () if state.repeats.handover.has_taken_over() && member => Predecessor::Told,
-        () => state.repeats.heavy.before.get(),
+        () if state.retries.handover.has_taken_over() && member => Predecessor::Told,
+        () => state.retries.heavy.before.get(),
     }
 }
