--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -14,10 +14,10 @@
 use policy::missing;
 
 /// Error that ends a caller's connection in the middle of an answer.
-pub type Cut = Box<dyn std::error::Error + Send + Sync>;
+pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
 /// Body of an answer.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
 /// Why this router answers by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
@@ -105,7 +105,7 @@
     }
 
     /// When it is worth coming back.
-    fn again(self) -> Option<Duration> {
+    fn retry_after(self) -> Option<Duration> {
         match self {
             // Settings and servers are read in some tens of milliseconds.
             Reason::Starting => Some(Duration::from_millis(200)),
@@ -125,8 +125,8 @@
 }
 
 /// Our own answer, with the usual time to come back.
-pub fn own(reason: Reason) -> Response<Body> {
-    own_after(reason, reason.again())
+pub fn error(reason: Reason) -> Response<Body> {
+    error_after(reason, reason.retry_after())
 }
 
 /// Why this router answered by itself, if it did.
@@ -135,7 +135,7 @@
 }
 
 /// Our own answer; its caller may come back after `again`, if that makes sense.
-pub fn own_after(reason: Reason, again: Option<Duration>) -> Response<Body> {
+pub fn error_after(reason: Reason, again: Option<Duration>) -> Response<Body> {
     let text = Bytes::from(format!("{reason}\n"));
     let mut answer = Response::new(Full::new(text).map_err(never).boxed_unsync());
     *answer.status_mut() = reason.status();
@@ -149,7 +149,7 @@
 }
 
 /// A backend server's whole answer.
-pub fn whole(head: Response<()>, body: Bytes) -> Response<Body> {
+pub fn from_server(head: Response<()>, body: Bytes) -> Response<Body> {
     let mut head = head;
     strip(head.headers_mut());
     head.map(|()| Full::new(body).map_err(never).boxed_unsync())
@@ -168,6 +168,6 @@
     headers.remove("proxy-connection");
 }
 
-fn never(e: Infallible) -> Cut {
+fn never(e: Infallible) -> BodyError {
     match e {}
 }
--- a/crates/gateway/src/content.rs
+++ b/crates/gateway/src/content.rs
@@ -38,7 +38,7 @@
 
 /// Hash of the fields that describe a request to a model.
 pub fn description(names: &Names, call: &Call) -> Fingerprint {
-    let fields = names.whole.iter().chain([&names.tokens]);
+    let fields = names.protected.iter().chain([&names.tokens]);
     let value = |name: &HeaderName| call.headers.get(name).map_or(&b""[..], |v| v.as_bytes());
     hash(&fields.map(value).collect::<Vec<_>>())
 }
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -86,7 +86,7 @@
         Verdict::Clear | Verdict::Alone => return None,
     };
     state.crashes.refused.set(state.crashes.refused.get() + 1);
-    Some(answer::own_after(Reason::Crashes, Some(left)))
+    Some(answer::error_after(Reason::Crashes, Some(left)))
 }
 
 /// Waits until a request may be sent, beside no other suspect if it is one; whether it may at all. One that has `begun` to
@@ -115,10 +115,10 @@
     let (content, description) = (call.content, content::description(&state.codec.names, call));
     let (id, bytes, workspace) = (call.id.clone(), call.size(), call.workspace.clone());
     let (server, at) = (peer.server(), state.now());
-    let news = peer.note_broke(at);
+    let news = peer.record_break(at);
     let (state, peer) = (state.clone(), peer.clone());
     spawn_local(async move {
-        let ended = probe::refuses(&peer).await;
+        let ended = probe::refuses_connections(&peer).await;
         state.metrics.run_broken(ended);
         if let Line::Written(left_out) = state.losses.borrow_mut().take(state.now(), LOSSES) {
             log::info!(
@@ -137,7 +137,7 @@
         if news {
             state.announce(Notice::Broke { server: server.id.clone() });
         }
-        if peer.broke_off(state.now()) {
+        if peer.count_break(state.now()) {
             log::warn!(
                 "gateway: server={} passed_over=true why=it breaks off what it runs",
                 server.id
@@ -160,7 +160,7 @@
 pub fn note_silent(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer, server) = (state.clone(), peer.clone(), peer.server());
     spawn_local(async move {
-        if probe::refuses(&peer).await {
+        if probe::refuses_connections(&peer).await {
             let start = Start { id: server.id.clone(), born: server.born };
             state.crashes.list.borrow_mut().ended(start, state.now());
         }
--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -61,7 +61,7 @@
 }
 
 /// Accepts callers until the process ends.
-pub async fn callers(state: Rc<State>, listener: TcpListener) {
+pub async fn serve_callers(state: Rc<State>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -241,7 +241,7 @@
             }
             state.metrics.refused(reason);
             request::discard(body);
-            let mut response = answer::own(reason);
+            let mut response = answer::error(reason);
             // What is left of an unread body must not be taken for a request.
             if matches!(reason, Reason::Malformed | Reason::TooLong | Reason::SlowCaller) {
                 response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -255,7 +255,7 @@
 async fn dispatch(state: &Rc<State>, call: Call) -> Response<Body> {
     let Some(name) = target(&call.route) else {
         state.metrics.refused(Reason::NoServer);
-        return answer::own(Reason::NoServer);
+        return answer::error(Reason::NoServer);
     };
     let now = state.now();
     state.budget(&name, |budget| budget.request(now));
@@ -263,7 +263,7 @@
     let model = settings.service(&name).and_then(|s| s.model.as_ref());
     if !shutdown::takes(state, &call, model.is_some()) {
         state.metrics.refused(Reason::Stopping);
-        return answer::own(Reason::Stopping);
+        return answer::error(Reason::Stopping);
     }
     if let Some(response) = crash::refuse(state, &call) {
         say_ending(state, &call, &name, &response);
@@ -300,7 +300,7 @@
         call.settings.version,
         response.status(),
         again.unwrap_or("none"),
-        call.came.elapsed()
+        call.arrived.elapsed()
     );
 }
 
@@ -317,7 +317,7 @@
 }
 
 /// Answers the balancer.
-pub async fn balancer(state: Rc<State>, listener: TcpListener) {
+pub async fn serve_balancer(state: Rc<State>, listener: TcpListener) {
     let state = &state;
     pages(listener, move |_, path| match path {
         path if path == state.codec.ready && state.ready() => (StatusCode::OK, String::new()),
@@ -328,7 +328,7 @@
 }
 
 /// Answers other routers that ask for what was read from the store.
-pub async fn routers(state: Rc<State>, listener: TcpListener) {
+pub async fn serve_routers(state: Rc<State>, listener: TcpListener) {
     let state = &state;
     let answer =
         move |request: Request<Incoming>| async move { shared_read::answer(state, request).await };
@@ -337,7 +337,7 @@
 
 /// Serves the metrics page, and what is in quarantine: `GET /quarantine` lists it, `DELETE /quarantine/CONTENT` lets a
 /// request run again.
-pub async fn metrics(state: Rc<State>, listener: TcpListener) {
+pub async fn serve_metrics(state: Rc<State>, listener: TcpListener) {
     let state = &state;
     pages(listener, move |method, path| match path.strip_prefix("/quarantine/") {
         None if path == "/metrics" => (StatusCode::OK, state.metrics.page(state)),
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -7,7 +7,7 @@
 
 /// Longest event that is collected. One that grows larger is no event of these services, and
 /// collecting on would let one server take the router's memory.
-pub const LONGEST: usize = 256 * 1024;
+pub const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// A complete event.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 
     /// Whether the unfinished event is longer than any event may be.
     pub fn overflows(&self) -> bool {
-        self.held.len() > LONGEST
+        self.held.len() > MAX_EVENT_BYTES
     }
 
     fn end(&mut self) -> Option<usize> {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -13,7 +13,7 @@
 
 use crate::limited;
 use crate::peer::Peer;
-use crate::pool::Link;
+use crate::pool::Connection;
 use crate::repeats;
 use crate::request::Call;
 use crate::shared_read;
@@ -45,13 +45,13 @@
     pub head: Response<()>,
     /// The rest of it.
     pub body: Incoming,
-    link: Link,
+    link: Connection,
     peer: Rc<Peer>,
 }
 
 impl Answer {
     /// Keeps the connection after the body was read to its end.
-    pub fn done(self) {
+    pub fn finish(self) {
         self.peer.pool.keep(self.link, self.head.headers());
     }
 
@@ -75,7 +75,7 @@
         let mut head = Response::new(());
         *head.status_mut() = self.head.status();
         *head.headers_mut() = self.head.headers().clone();
-        self.done();
+        self.finish();
         Some((head, whole.into()))
     }
 }
@@ -104,7 +104,7 @@
         }
     };
     say_sent(state, peer, call);
-    let used = link.used;
+    let used = link.reused;
     let outcome = exchange(state, peer, call, &extra, link, until).await;
     // A used connection that ends before any byte of the answer was most likely idle too long.
     let idle = used && call.route.class.repeatable() && matches!(outcome, Outcome::Unknown(_));
@@ -138,7 +138,7 @@
         server.id,
         server.sequence,
         entry.offset,
-        now.saturating_sub(entry.heard),
+        now.saturating_sub(entry.received),
         shared_read::known(state, Log::Servers)
     );
 }
@@ -148,7 +148,7 @@
     peer: &Rc<Peer>,
     call: &Call,
     extra: &HeaderMap,
-    mut link: Link,
+    mut link: Connection,
     until: Instant,
 ) -> Outcome {
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -180,7 +180,7 @@
     peer: &Rc<Peer>,
     call: &Call,
     answer: Response<Incoming>,
-    link: Link,
+    link: Connection,
     took: Duration,
 ) -> Outcome {
     let names = &state.codec.names;
@@ -206,9 +206,9 @@
             "the answer with status {status} is not the server's own"
         ));
     }
-    peer.answered(took);
+    peer.record_answer(took);
     if let Some(running) = headers.get(&names.load).and_then(running) {
-        peer.told.set(Some((running, state.now())));
+        peer.reported_load.set(Some((running, state.now())));
     }
     let (parts, body) = answer.into_parts();
     let head = Response::from_parts(parts, ());
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -318,7 +318,7 @@
             match (entry, state.peer(key)) {
                 (Some(entry), Some(peer)) => {
                     let known = peer.server();
-                    !entry.is_before(&known) && (peer.lapsed() || !entry.says_same(&known))
+                    !entry.is_before(&known) && (peer.is_expired() || !entry.says_same(&known))
                 }
                 _ => true,
             }
--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -14,7 +14,7 @@
 /// Takes a record of the list over; whether it was taken, as none that is newer is known.
 pub(super) fn change(state: &State, reader: Reader, item: &Item, regained: bool) -> bool {
     let entry = item.value.as_ref().and_then(|value| (reader.server)(&item.key, value));
-    let known = Entry { offset: item.offset, heard: state.now() };
+    let known = Entry { offset: item.offset, received: state.now() };
     match (entry, state.peer(&item.key)) {
         (Some(server), Some(peer)) => {
             let was = peer.server();
@@ -82,7 +82,7 @@
     let Some(peer) = state.peer(id) else { return };
     if regained && peer.ready() {
         log::info!("gateway: server={id} lapsed=true");
-        peer.lapse(state.now() + LAPSED);
+        peer.expire(state.now() + LAPSED);
     } else {
         log::info!("gateway: server={id} gone=true");
         state.remove(id);
@@ -100,7 +100,7 @@
 
 pub(super) fn drop_expired(state: &State) {
     let now = state.now();
-    for peer in state.peers().iter().filter(|p| p.expired(now)) {
+    for peer in state.peers().iter().filter(|p| p.is_grace_over(now)) {
         let id = peer.server().id.clone();
         log::info!("gateway: server={id} gone=true why=its entry did not come back");
         state.remove(&id);
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -62,7 +62,7 @@
             span: order.unwrap_or(peer.span(now)),
             usable: card.is_some() && peer.ready() && (!reached || !peer.counts_as_dead()),
             busy: order.is_some(),
-            slow: peer.slow.get() > STAND_IN,
+            slow: peer.slowdown.get() > STAND_IN,
         }
     };
     let servers: Vec<layers::Server> = peers.iter().map(server).collect();
@@ -70,7 +70,7 @@
     say(state, &gaps);
     let lasting = lasting(state, &gaps) > RETURN;
     let places = placement::plan(&servers, &model.shape, lasting);
-    let age = |server: Index| now.saturating_sub(peers[server].since());
+    let age = |server: Index| now.saturating_sub(peers[server].first_seen());
     let lost = |zone: Zone| lost(state, peers, zone);
     let places = placement::keep_started(places, &servers, &model.shape, age, lost);
     let planned = |place: &Place| Planned {
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -119,13 +119,13 @@
 ) -> Result<(), Fault> {
     // The number of orders accepted so far is asked of the server itself: its entry lags.
     let asked = orders.into_iter().map(|(span, peer)| async move {
-        (span, probe::report(state, &peer, probe::soon(state)).await, peer)
+        (span, probe::fetch_report(state, &peer, probe::urgent_timeout(state)).await, peer)
     });
     let asked = futures_util::future::join_all(asked).await;
     let mut ready = Vec::new();
     for (span, report, peer) in asked {
         match report {
-            Ok(report) if report.span == span => peer.learn(report.span, state.now()),
+            Ok(report) if report.span == span => peer.record_span(report.span, state.now()),
             Ok(report) if report.busy => {
                 let (sent, until) = (state.now(), state.now() + LATE);
                 given.push(Given {
@@ -188,7 +188,9 @@
         return false;
     }
     state.metrics.ordered();
-    let answer = probe::ask(peer, (state.codec.order)(&Order { span, after }), probe::CALM).await;
+    let answer =
+        probe::send(peer, (state.codec.order)(&Order { span, after }), probe::BACKGROUND_TIMEOUT)
+            .await;
     log::info!(
         "gateway: order server={id} layers={span} after={after} epoch={} answer={:?}",
         term.epoch,
@@ -213,7 +215,7 @@
     if peer.suspicion.borrow().holds(state.now()) {
         return Err("it is suspected".to_owned());
     }
-    probe::report(state, peer, probe::soon(state)).await
+    probe::fetch_report(state, peer, probe::urgent_timeout(state)).await
 }
 
 /// Looks which orders are done, failed or overdue.
@@ -228,7 +230,7 @@
         let done = match report {
             Ok(report) if report.span == order.span && !report.busy => {
                 let server = order.server.clone();
-                peer.learn(report.span, now);
+                peer.record_span(report.span, now);
                 state.announce(Notice::Holds {
                     server,
                     from: report.span.from,
--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -28,7 +28,9 @@
     let start = from % peers.len().max(1);
     peers.rotate_left(start);
     peers.truncate(AT_ONCE);
-    let asked = peers.iter().map(|peer| async move { (probe::visit(state, peer).await, peer) });
+    let asked = peers
+        .iter()
+        .map(|peer| async move { (probe::fetch_report_pooled(state, peer).await, peer) });
     let mut filled = Vec::new();
     for (report, peer) in futures_util::future::join_all(asked).await {
         let server = peer.server().id.clone();
@@ -43,10 +45,10 @@
             peer.filled.set(Some((part, state.now())));
             filled.push((server.clone(), (part * 100.0).round() as u8));
         }
-        let (was, is) = (peer.slow.get(), report.pace.max(1.0));
+        let (was, is) = (peer.slowdown.get(), report.pace.max(1.0));
         if (is - was).abs() > CHANGED * was {
             log::info!("gateway: server={server} slow={is:.1} before={was:.1}");
-            peer.slow.set(is);
+            peer.slowdown.set(is);
             state.announce(Notice::Slow { server, percent: (is * 100.0) as u32 });
         }
     }
@@ -58,8 +60,8 @@
 /// Servers that are slow. A change is told once, at once; a router that starts later hears of it by this.
 fn slow(state: &State) -> Vec<(Id, u32)> {
     let peers = state.peers();
-    let slow = peers.iter().filter(|p| p.slow.get() > 1.0 + CHANGED);
-    slow.map(|p| (p.server().id.clone(), (p.slow.get() * 100.0) as u32)).collect()
+    let slow = peers.iter().filter(|p| p.slowdown.get() > 1.0 + CHANGED);
+    slow.map(|p| (p.server().id.clone(), (p.slowdown.get() * 100.0) as u32)).collect()
 }
 
 /// Asks servers again if many are suspected at once. A router that was slow for a moment takes many live
@@ -71,7 +73,8 @@
         return;
     }
     for some in doubted.chunks(AT_ONCE) {
-        let asked = some.iter().map(|p| probe::report(state, p, probe::soon(state)));
+        let asked =
+            some.iter().map(|p| probe::fetch_report(state, p, probe::urgent_timeout(state)));
         let answers = futures_util::future::join_all(asked).await;
         let alive = answers.iter().filter(|answer| answer.is_ok()).count();
         if alive == 0 {
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -231,7 +231,7 @@
     let (now, routers) = (state.now(), state.routers());
     let peers = state.of(service);
     let times = peers.iter().filter_map(|p| p.limited.come_back(routers, now));
-    answer::own_after(Reason::Limited, times.min())
+    answer::error_after(Reason::Limited, times.min())
 }
 
 /// Asks the keeper of a server's ledger, beside what else goes on.
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -127,7 +127,7 @@
     match notice {
         Notice::Silent { server } => state
             .peer(server)
-            .is_some_and(|p| p.said.get().is_some_and(|at| state.now() < at + SAID)),
+            .is_some_and(|p| p.reported_silent.get().is_some_and(|at| state.now() < at + SAID)),
         _ => false,
     }
 }
@@ -139,7 +139,7 @@
         match notice {
             Notice::Filled { .. } => {
                 // Each names all that are slow at its time.
-                state.peers().iter().for_each(|peer| peer.slow.set(1.0));
+                state.peers().iter().for_each(|peer| peer.slowdown.set(1.0));
                 receive(state, notice);
             }
             Notice::Limit { .. } | Notice::Refused { .. } | Notice::Cleared { .. } => {
@@ -157,10 +157,10 @@
     match notice {
         Notice::Silent { server } => {
             if let Some(peer) = state.peer(server) {
-                peer.said.set(Some(now));
+                peer.reported_silent.set(Some(now));
             }
             if let Some(peer) = state.peer(server).filter(|p| silent(p, now)) {
-                peer.fail(now);
+                peer.record_failure(now);
                 if state.gives.get() {
                     probe::verify(state, &peer);
                 }
@@ -176,13 +176,13 @@
         }
         Notice::Broke { server } => {
             if let Some(peer) = state.peer(server) {
-                peer.note_broke(now);
+                peer.record_break(now);
             }
             return;
         }
         Notice::Slow { server, percent } => {
             if let Some(peer) = state.peer(server) {
-                peer.slow.set(f64::from(*percent) / 100.0);
+                peer.slowdown.set(f64::from(*percent) / 100.0);
             }
         }
         Notice::Filled { servers, slow } => {
@@ -193,7 +193,7 @@
             }
             for (server, percent) in slow {
                 if let Some(peer) = state.peer(server) {
-                    peer.slow.set(f64::from(*percent) / 100.0);
+                    peer.slowdown.set(f64::from(*percent) / 100.0);
                 }
             }
             return;
@@ -215,7 +215,7 @@
         }
         Notice::Holds { server, from, to } => {
             if let Some(peer) = state.peer(server) {
-                peer.learn(Span::new(*from, *to), now);
+                peer.record_span(Span::new(*from, *to), now);
             }
         }
     }
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -29,12 +29,12 @@
     /// Its offset in the list.
     pub offset: Offset,
     /// When this router heard of it.
-    pub heard: Duration,
+    pub received: Duration,
 }
 
 /// What came of a question whether a server lives.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
+pub struct Probe {
     /// When it was answered or given up.
     pub at: Duration,
     /// Time that the server got to answer.
@@ -45,7 +45,7 @@
 
 /// What came of looking whether a silent server is gone.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Reached {
+pub struct Reachability {
     /// When that was known.
     pub at: Duration,
     /// Whether it has ended or is cut off.
@@ -59,7 +59,7 @@
     entry: Cell<Entry>,
     digest: Cell<Digest>,
     /// When this router first heard of this start of it.
-    since: Cell<Duration>,
+    first_seen: Cell<Duration>,
     /// Connections to it.
     pub pool: Pool,
     /// Whether it answers.
@@ -69,7 +69,7 @@
     /// Runs that it broke off while it lived.
     pub breaks: Cell<Tally>,
     /// Requests of all routers that ran or waited there, as it last told, and when.
-    pub told: Cell<Option<(u32, Duration)>>,
+    pub reported_load: Cell<Option<(u32, Duration)>>,
     /// Times of its answers.
     pub pace: Cell<Pace>,
     /// The limit that it names for all routers together.
@@ -81,30 +81,30 @@
     /// Bytes of context that requests of this router take there.
     pub context: Cell<f64>,
     /// Bytes of context of requests that this router lately began there.
-    pub begun: RefCell<fill::Sent>,
+    pub sent_context: RefCell<fill::Sent>,
     /// Prompts that this router sent there and that are not read yet.
-    pub reading: Cell<Meter>,
+    pub prefill_backlog: Cell<Meter>,
     /// Factor on the time of its steps, as it reports.
-    pub slow: Cell<f64>,
+    pub slowdown: Cell<f64>,
     /// Part of its memory for requests that was taken when it was last asked, and when that was heard.
     pub filled: Cell<Option<(f64, Duration)>>,
     /// What came when it was last asked whether it lives. Held while it is asked, so that all who want to know wait for
     /// one answer.
-    pub asked: Mutex<Asked>,
+    pub last_probe: Mutex<Probe>,
     /// Whether it was gone when that was last looked into. Held meanwhile.
-    pub reached: Mutex<Reached>,
+    pub reachability: Mutex<Reachability>,
     /// When it last broke a run off though it lived, at any router.
-    pub broke: Cell<Option<Duration>>,
+    pub last_break: Cell<Option<Duration>>,
     /// When an event last came along a path through it.
-    pub seen: Cell<Duration>,
+    pub last_event_at: Cell<Duration>,
     /// When another router last said that it does not answer.
-    pub said: Cell<Option<Duration>>,
+    pub reported_silent: Cell<Option<Duration>>,
     /// Whether it is being asked if that is so.
-    pub in_doubt: Cell<bool>,
+    pub verifying: Cell<bool>,
     /// Requests that it last reported to wait for a server further on.
     pub stalled: RefCell<Vec<Stall>>,
     fresh: Cell<Option<(Span, Duration)>>,
-    lapsed: Cell<Option<Duration>>,
+    grace_end: Cell<Option<Duration>>,
 }
 
 impl Peer {
@@ -114,30 +114,34 @@
             pool: Pool::new(server.address),
             entry: Cell::new(entry),
             digest: Cell::new(shared_read::digest(&server)),
-            since: Cell::new(entry.heard),
+            first_seen: Cell::new(entry.received),
             server: RefCell::new(Rc::new(server)),
             suspicion: RefCell::default(),
             declines: RefCell::default(),
             breaks: Cell::default(),
-            told: Cell::new(None),
+            reported_load: Cell::new(None),
             pace: Cell::default(),
             limited: Limited::default(),
             sent: RefCell::default(),
             running: Cell::new(0),
             context: Cell::new(0.0),
-            begun: RefCell::default(),
-            reading: Cell::default(),
-            slow: Cell::new(1.0),
+            sent_context: RefCell::default(),
+            prefill_backlog: Cell::default(),
+            slowdown: Cell::new(1.0),
             filled: Cell::new(None),
-            asked: Mutex::new(Asked { at: Duration::ZERO, limit: Duration::ZERO, start: Some(0) }),
-            reached: Mutex::default(),
-            broke: Cell::new(None),
-            seen: Cell::default(),
-            said: Cell::new(None),
-            in_doubt: Cell::new(false),
+            last_probe: Mutex::new(Probe {
+                at: Duration::ZERO,
+                limit: Duration::ZERO,
+                start: Some(0),
+            }),
+            reachability: Mutex::default(),
+            last_break: Cell::new(None),
+            last_event_at: Cell::default(),
+            reported_silent: Cell::new(None),
+            verifying: Cell::new(false),
             stalled: RefCell::default(),
             fresh: Cell::new(None),
-            lapsed: Cell::new(None),
+            grace_end: Cell::new(None),
         }
     }
 
@@ -152,8 +156,8 @@
     }
 
     /// When this router first heard of this start of it.
-    pub fn since(&self) -> Duration {
-        self.since.get()
+    pub fn first_seen(&self) -> Duration {
+        self.first_seen.get()
     }
 
     /// Digest of its entry.
@@ -163,19 +167,19 @@
 
     /// Takes a new entry over.
     pub fn update(&self, server: Server, entry: Entry) {
-        self.lapsed.set(None);
+        self.grace_end.set(None);
         self.entry.set(entry);
         self.digest.set(shared_read::digest(&server));
         if self.server.borrow().born != server.born {
             // A new start holds nothing of before.
-            self.since.set(entry.heard);
+            self.first_seen.set(entry.received);
             self.fresh.set(None);
             self.suspicion.borrow_mut().clear();
-            self.slow.set(1.0);
+            self.slowdown.set(1.0);
             self.filled.set(None);
             self.limited.end();
             self.breaks.take();
-            self.broke.set(None);
+            self.last_break.set(None);
         }
         *self.server.borrow_mut() = Rc::new(server);
     }
@@ -189,25 +193,25 @@
     }
 
     /// Takes over what it is known to hold that is newer than its entry.
-    pub fn learn(&self, span: Span, now: Duration) {
+    pub fn record_span(&self, span: Span, now: Duration) {
         self.fresh.set(Some((span, now)));
     }
 
     /// Notes that its entry is gone though it may live; it counts as gone at `until`.
-    pub fn lapse(&self, until: Duration) {
-        if self.lapsed.get().is_none() {
-            self.lapsed.set(Some(until));
+    pub fn expire(&self, until: Duration) {
+        if self.grace_end.get().is_none() {
+            self.grace_end.set(Some(until));
         }
     }
 
     /// Whether its entry is gone though it may live.
-    pub fn lapsed(&self) -> bool {
-        self.lapsed.get().is_some()
+    pub fn is_expired(&self) -> bool {
+        self.grace_end.get().is_some()
     }
 
     /// Whether its entry lapsed and has not come back in time.
-    pub fn expired(&self, now: Duration) -> bool {
-        self.lapsed.get().is_some_and(|until| until <= now)
+    pub fn is_grace_over(&self, now: Duration) -> bool {
+        self.grace_end.get().is_some_and(|until| until <= now)
     }
 
     /// Whether it takes new work.
@@ -223,23 +227,23 @@
     /// Whether it counts as dead where layers are placed: it did not answer, and has not answered since. The word of another
     /// router counts once the server was asked here as well.
     pub fn counts_as_dead(&self) -> bool {
-        self.suspicion.borrow().open() && !self.in_doubt.get()
+        self.suspicion.borrow().open() && !self.verifying.get()
     }
 
     /// Whether it is usable and has not just declined a request.
-    pub fn willing(&self, now: Duration) -> bool {
+    pub fn accepts_requests(&self, now: Duration) -> bool {
         self.usable(now) && !self.declines.borrow().holds(now)
     }
 
     /// Notes that it did not answer; true if that was not known.
-    pub fn fail(&self, now: Duration) -> bool {
+    pub fn record_failure(&self, now: Duration) -> bool {
         let fresh = !self.suspicion.borrow().holds(now);
         self.suspicion.borrow_mut().fail(now);
         fresh
     }
 
     /// Notes that it broke a run off though it lives; whether that is new reason to pass over it.
-    pub fn broke_off(&self, now: Duration) -> bool {
+    pub fn count_break(&self, now: Duration) -> bool {
         let mut breaks = self.breaks.get();
         let passed_over = breaks.broke(now) && !self.declines.borrow().holds(now);
         self.breaks.set(breaks);
@@ -250,25 +254,25 @@
     }
 
     /// Notes that it broke a run off at some router; whether that is news.
-    pub fn note_broke(&self, now: Duration) -> bool {
-        let known = self.broke.replace(Some(now));
+    pub fn record_break(&self, now: Duration) -> bool {
+        let known = self.last_break.replace(Some(now));
         known.is_none_or(|at| now >= at + breaks::TOLD)
     }
 
     /// Whether it broke a run off a moment ago.
-    pub fn has_broken(&self, now: Duration) -> bool {
-        self.broke.get().is_some_and(|at| now < at + breaks::AVOIDED)
+    pub fn broke_recently(&self, now: Duration) -> bool {
+        self.last_break.get().is_some_and(|at| now < at + breaks::AVOIDED)
     }
 
     /// Notes that a run went on there.
-    pub fn went_on(&self) {
+    pub fn count_continued(&self) {
         let mut breaks = self.breaks.get();
         breaks.went_on();
         self.breaks.set(breaks);
     }
 
     /// Notes an answer after `took`.
-    pub fn answered(&self, took: Duration) {
+    pub fn record_answer(&self, took: Duration) {
         self.suspicion.borrow_mut().clear();
         let mut pace = self.pace.get();
         pace.add(took.as_secs_f64() * 1e3);
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -74,7 +74,7 @@
 /// A server that is slow goes on while another one is asked, and the first answer counts: the other one may decline,
 /// or be slower still.
 pub async fn serve(state: &Rc<State>, call: &Call, service: &str) -> Response<Body> {
-    let (asked, fallback) = (Vec::new(), answer::own(Reason::NoServer));
+    let (asked, fallback) = (Vec::new(), answer::error(Reason::NoServer));
     let mut progress = Progress { state, call, service, asked, ran: 0, looked: None, fallback };
     let mut pending = FuturesUnordered::new();
     limited::ask(state, service, |_| true).await;
@@ -93,7 +93,7 @@
         let slow_at = patience.as_ref().filter(|_| progress.may_ask(running)).map(|(at, _)| *at);
         let (peer, tried) = tokio::select! {
             Some(tried) = pending.next() => tried,
-            () = sleep_until(slow_at.unwrap_or(call.until)), if slow_at.is_some() => {
+            () = sleep_until(slow_at.unwrap_or(call.deadline)), if slow_at.is_some() => {
                 next = progress.repeat().await;
                 if let (true, Some((_, slow))) = (next.is_some(), patience.take()) {
                     note_slow(call, &slow);
@@ -106,7 +106,7 @@
             return answer;
         }
         if pending.is_empty() {
-            if call.left().is_zero() || !progress.may_ask(0) {
+            if call.time_left().is_zero() || !progress.may_ask(0) {
                 return progress.fallback;
             }
             next = progress.repeat().await;
@@ -145,8 +145,8 @@
             Tried::Answered(head, body) => {
                 self.ran += 1;
                 crash::completed(state, call);
-                peer.went_on();
-                let answer = answer::whole(head, body);
+                peer.count_continued();
+                let answer = answer::from_server(head, body);
                 let better = call.route.class.repeatable() && (running > 0 || self.may_ask(0));
                 if !better || !answer.status().is_server_error() {
                     return Some(answer);
@@ -156,17 +156,17 @@
             Tried::NotSent(why) => pass_over(state, peer, &why),
             Tried::Stopped if self.ran + running == 0 => {
                 let refusal = crash::refuse(state, call);
-                return Some(refusal.unwrap_or_else(|| answer::own(Reason::Crashes)));
+                return Some(refusal.unwrap_or_else(|| answer::error(Reason::Crashes)));
             }
             Tried::Stopped => {}
             Tried::NotRun(status) => {
                 let id = &peer.server().id;
                 log::info!("gateway: request={} server={id} declined status={status}", call.id);
                 if self.ran == 0 {
-                    self.fallback = answer::own(Reason::Full);
+                    self.fallback = answer::error(Reason::Full);
                 }
                 if status == StatusCode::MISDIRECTED_REQUEST {
-                    peer.fail(state.now());
+                    peer.record_failure(state.now());
                 }
             }
             Tried::Broken | Tried::Unknown(_) => {
@@ -179,9 +179,9 @@
                         call.id
                     );
                 }
-                self.fallback = answer::own(Reason::Lost);
+                self.fallback = answer::error(Reason::Lost);
                 if !call.route.class.repeatable() {
-                    return Some(answer::own(Reason::Lost));
+                    return Some(answer::error(Reason::Lost));
                 }
             }
             Tried::Late => {
@@ -201,10 +201,10 @@
     };
     let _load = Load::new(peer.clone(), 0.0);
     let fields = fields(state, call, &peer.server().id);
-    let tried = match exchange::send(state, &peer, call, Need::New, fields, call.until).await {
-        Outcome::Answer(answer) => match answer.collect(call.until).await {
+    let tried = match exchange::send(state, &peer, call, Need::New, fields, call.deadline).await {
+        Outcome::Answer(answer) => match answer.collect(call.deadline).await {
             Some((head, body)) => Tried::Answered(head, body),
-            None if Instant::now() >= call.until => Tried::Late,
+            None if Instant::now() >= call.deadline => Tried::Late,
             None => Tried::Broken,
         },
         Outcome::NotSent(why) => Tried::NotSent(why),
@@ -227,16 +227,16 @@
         "gateway: request={} server={} outcome=late age={:?}",
         call.id,
         peer.server().id,
-        call.came.elapsed()
+        call.arrived.elapsed()
     );
     state.metrics.late();
-    answer::own(Reason::Late)
+    answer::error(Reason::Late)
 }
 
 /// Passes over a server that can't be reached. The other routers are not told: a router that is itself cut off
 /// would take the few servers of the service from all of them, and each finds out by one connection.
 fn pass_over(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
-    if peer.fail(state.now()) {
+    if peer.record_failure(state.now()) {
         crash::note_silent(state, peer);
         log::warn!("gateway: server={} suspect=true why={why}", peer.server().id);
     }
@@ -246,7 +246,7 @@
 fn limit(call: &Call, peer: &Peer) -> Instant {
     let usual = Duration::from_secs_f64(peer.pace.get().mean() * USUAL / 1e3);
     let time = call.route.goal.mul_f64(PATIENCE).max(SHORTEST).max(usual);
-    (Instant::now() + time).min(call.until)
+    (Instant::now() + time).min(call.deadline)
 }
 
 fn choose(state: &State, service: &str, but: &[String]) -> Option<Rc<Peer>> {
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -62,12 +62,12 @@
 
 /// A connection that is in use by one request.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
     task: Task,
     /// Whether it was used before.
-    pub used: bool,
+    pub reused: bool,
 }
 
 /// Ends the connection's task when dropped: the server sees the close at once and stops work
@@ -83,7 +83,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    link: Link,
+    link: Connection,
     until: Instant,
 }
 
@@ -103,7 +103,7 @@
     }
 
     /// An idle connection, if one may still be used.
-    pub fn idle(&self) -> Option<Link> {
+    pub fn idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         idle.retain(|i| i.until > now && i.link.sender.is_ready());
@@ -111,7 +111,7 @@
     }
 
     /// A connection: an idle one or a new one.
-    pub async fn take(&self) -> Result<Link, Fault> {
+    pub async fn take(&self) -> Result<Connection, Fault> {
         match self.idle() {
             Some(link) => Ok(link),
             None => self.connect().await,
@@ -119,7 +119,7 @@
     }
 
     /// A new connection.
-    pub async fn connect(&self) -> Result<Link, Fault> {
+    pub async fn connect(&self) -> Result<Connection, Fault> {
         let fault = |why: String, cause| Fault { peer: self.address, why, cause };
         let stream = match timeout(CONNECT, open(self.address)).await {
             Ok(stream) => {
@@ -144,11 +144,11 @@
             }
         });
         self.made.set(self.made.get() + 1);
-        Ok(Link { sender, task: Task(task.abort_handle()), used: false })
+        Ok(Connection { sender, task: Task(task.abort_handle()), reused: false })
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, mut link: Link, headers: &HeaderMap) {
+    pub fn keep(&self, mut link: Connection, headers: &HeaderMap) {
         let closes = headers
             .get(hyper::header::CONNECTION)
             .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
@@ -156,7 +156,7 @@
         if closes || link.sender.is_closed() || idle.len() >= IDLE {
             return;
         }
-        link.used = true;
+        link.reused = true;
         idle.push(Idle { link, until: Instant::now() + reuse(headers) });
     }
 
@@ -188,7 +188,7 @@
     Ok(stream)
 }
 
-impl Link {
+impl Connection {
     /// Whether the server closed it.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed() || self.task.0.is_finished()
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -12,11 +12,11 @@
 
 use crate::crash;
 use crate::notice::Notice;
-use crate::peer::{Asked, Peer, Reached};
+use crate::peer::{Peer, Probe, Reachability};
 use crate::pool::Cause;
 use crate::server::Report;
 use crate::state::State;
-use crate::wire::Ask;
+use crate::wire::Command;
 
 /// Time a server gets to answer a probe. A round trip takes up to two milliseconds, so a live one
 /// answers far sooner; a longer wait would be added to the pause that the caller sees.
@@ -45,19 +45,23 @@
 const FRESH: Duration = Duration::from_millis(150);
 
 /// Time a server gets to answer an order or a question that nothing waits for.
-pub const CALM: Duration = Duration::from_millis(600);
+pub const BACKGROUND_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Time a server gets to answer a question that orders to other servers wait for: several times what a probe
 /// of a live one takes (99 in 100 within 25 ms).
-const SOON: Duration = Duration::from_millis(200);
+const URGENT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The same with what this process's own delay adds.
-pub fn soon(state: &State) -> Duration {
-    SOON + state.lag.get() * LAGS
+pub fn urgent_timeout(state: &State) -> Duration {
+    URGENT_TIMEOUT + state.lag.get() * LAGS
 }
 
 /// Sends a question or an order; the status and body of the answer.
-pub async fn ask(peer: &Peer, ask: Ask, limit: Duration) -> Result<(StatusCode, Vec<u8>), String> {
+pub async fn send(
+    peer: &Peer,
+    ask: Command,
+    limit: Duration,
+) -> Result<(StatusCode, Vec<u8>), String> {
     ask_over(peer, ask, limit, false).await
 }
 
@@ -65,7 +69,7 @@
 /// lives, so what depends on the answer goes over a new one.
 async fn ask_over(
     peer: &Peer,
-    ask: Ask,
+    ask: Command,
     limit: Duration,
     kept: bool,
 ) -> Result<(StatusCode, Vec<u8>), String> {
@@ -75,7 +79,7 @@
     }
 }
 
-async fn exchange(peer: &Peer, ask: Ask, kept: bool) -> Result<(StatusCode, Vec<u8>), String> {
+async fn exchange(peer: &Peer, ask: Command, kept: bool) -> Result<(StatusCode, Vec<u8>), String> {
     let link = if kept { peer.pool.take().await } else { peer.pool.connect().await };
     let mut link = link.map_err(|e| e.to_string())?;
     let mut request = Request::new(Full::new(ask.body));
@@ -93,16 +97,16 @@
 }
 
 /// Asks a server for its state over a new connection.
-pub async fn report(state: &State, peer: &Peer, limit: Duration) -> Result<Report, String> {
-    let (status, body) = ask(peer, (state.codec.report)(), limit).await?;
+pub async fn fetch_report(state: &State, peer: &Peer, limit: Duration) -> Result<Report, String> {
+    let (status, body) = send(peer, (state.codec.report)(), limit).await?;
     read(state, peer, status, &body)
 }
 
 /// Asks a server for its state, over a kept connection first.
-pub async fn visit(state: &State, peer: &Peer) -> Result<Report, String> {
-    match ask_over(peer, (state.codec.report)(), CALM, true).await {
+pub async fn fetch_report_pooled(state: &State, peer: &Peer) -> Result<Report, String> {
+    match ask_over(peer, (state.codec.report)(), BACKGROUND_TIMEOUT, true).await {
         Ok((status, body)) => read(state, peer, status, &body),
-        Err(_) => report(state, peer, CALM).await,
+        Err(_) => fetch_report(state, peer, BACKGROUND_TIMEOUT).await,
     }
 }
 
@@ -115,7 +119,7 @@
 }
 
 /// Asks servers at the same time; those that do not answer.
-pub async fn ask_all(state: &State, peers: &[Rc<Peer>]) -> Vec<Rc<Peer>> {
+pub async fn find_silent(state: &State, peers: &[Rc<Peer>]) -> Vec<Rc<Peer>> {
     let answers = join_all(peers.iter().map(|peer| alive(state, peer))).await;
     let dead = answers.iter().zip(peers).filter(|(alive, _)| !**alive);
     dead.map(|(_, peer)| peer.clone()).collect()
@@ -131,12 +135,12 @@
 /// Load pattern: servers near their limit, so that pauses vary and many streams seem silent for a moment. If each
 /// of them asks all servers of its path, a small VM makes thousands of probes in a few seconds, and
 /// hears the answers so late that it takes live servers for dead.
-pub async fn ask_path(state: &State, path: &[Rc<Peer>]) -> (usize, Vec<Rc<Peer>>) {
+pub async fn find_silent_on_path(state: &State, path: &[Rc<Peer>]) -> (usize, Vec<Rc<Peer>>) {
     let now = state.now();
-    let shown = |peer: &Rc<Peer>| now < peer.seen.get() + SHOWN;
+    let shown = |peer: &Rc<Peer>| now < peer.last_event_at.get() + SHOWN;
     let asked = path.iter().enumerate().filter(|(i, peer)| *i == 0 || !shown(peer));
     let asked: Vec<Rc<Peer>> = asked.map(|(_, peer)| peer.clone()).collect();
-    (asked.len(), ask_all(state, &asked).await)
+    (asked.len(), find_silent(state, &asked).await)
 }
 
 async fn alive(state: &State, peer: &Peer) -> bool {
@@ -147,7 +151,7 @@
 /// Whether a server that started at `born` does not answer this router any more after `since`, whatever others say of
 /// it. One that started again under its name has ended as well. A live one may be too slow for a probe, so it gets longer.
 pub async fn has_ended(state: &State, peer: &Peer, born: u64, since: Duration) -> bool {
-    match answering(state, peer, since, SOON).await {
+    match answering(state, peer, since, URGENT_TIMEOUT).await {
         None => true,
         // Not every server says when it started.
         Some(start) => start != born && start != 0 && born != 0,
@@ -156,7 +160,7 @@
 
 /// Whether nothing listens any more at a server's address, so that it has ended. One that only resets connections, or that
 /// this router can't reach, does not refuse them.
-pub async fn refuses(peer: &Peer) -> bool {
+pub async fn refuses_connections(peer: &Peer) -> bool {
     peer.pool.connect().await.is_err_and(|fault| fault.cause == Cause::Refused)
 }
 
@@ -167,7 +171,7 @@
 /// or its VM takes no connection while another server of its data centre answers. One that takes connections may be at work,
 /// and where no other server answers, it is this router that is cut off.
 pub async fn is_gone(state: &State, peer: &Peer) -> bool {
-    let mut reached = peer.reached.lock().await;
+    let mut reached = peer.reachability.lock().await;
     if state.now() < reached.at + FRESH {
         return reached.gone;
     }
@@ -178,7 +182,7 @@
         Ok(_) | Err(Cause::Other) => false,
     };
     log::info!("gateway: server={} gone={gone} others_answer={nearby}", peer.server().id);
-    *reached = Reached { at: state.now(), gone };
+    *reached = Reachability { at: state.now(), gone };
     gone
 }
 
@@ -190,24 +194,24 @@
         let other = p.server();
         other.zone == server.zone && other.id != server.id && !p.suspicion.borrow().holds(since)
     });
-    nearby.sort_by_key(|p| std::cmp::Reverse(p.seen.get()));
+    nearby.sort_by_key(|p| std::cmp::Reverse(p.last_event_at.get()));
     nearby.truncate(NEARBY);
-    let asked = nearby.iter().map(|p| answering(state, p, since, SOON));
+    let asked = nearby.iter().map(|p| answering(state, p, since, URGENT_TIMEOUT));
     join_all(asked).await.iter().any(Option::is_some)
 }
 
 /// Asks a server whether it lives, unless that was just done, after `since` and with as much time to answer; when the
 /// start of it that answers began.
 async fn answering(state: &State, peer: &Peer, since: Duration, limit: Duration) -> Option<u64> {
-    let mut asked = peer.asked.lock().await;
+    let mut asked = peer.last_probe.lock().await;
     let fresh = since <= asked.at && state.now() < asked.at + FRESH;
     if fresh && (asked.start.is_some() || limit <= asked.limit) {
         return asked.start;
     }
-    let start = match report(state, peer, limit + state.lag.get() * LAGS).await {
+    let start = match fetch_report(state, peer, limit + state.lag.get() * LAGS).await {
         Ok(report) => {
-            peer.slow.set(report.pace.max(1.0));
-            peer.learn(report.span, state.now());
+            peer.slowdown.set(report.pace.max(1.0));
+            peer.record_span(report.span, state.now());
             *peer.stalled.borrow_mut() = report.stalled;
             Some(report.born)
         }
@@ -216,7 +220,7 @@
             None
         }
     };
-    *asked = Asked { at: state.now(), limit, start };
+    *asked = Probe { at: state.now(), limit, start };
     start
 }
 
@@ -227,10 +231,10 @@
 /// began there.
 pub fn verify(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer) = (state.clone(), peer.clone());
-    peer.in_doubt.set(true);
+    peer.verifying.set(true);
     spawn_local(async move {
-        let answer = report(&state, &peer, soon(&state)).await;
-        peer.in_doubt.set(false);
+        let answer = fetch_report(&state, &peer, urgent_timeout(&state)).await;
+        peer.verifying.set(false);
         if answer.is_ok() {
             log::info!("gateway: server={} suspect=false why=it answers", peer.server().id);
         }
@@ -240,7 +244,7 @@
 
 /// Passes over a server and tells the other routers.
 pub fn suspect(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
-    if peer.fail(state.now()) {
+    if peer.record_failure(state.now()) {
         crash::note_silent(state, peer);
         let server = peer.server();
         log::warn!("gateway: server={} suspect=true why={why}", server.id);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -52,9 +52,9 @@
     /// Its rank.
     pub rank: Rank,
     /// When it arrived.
-    pub came: Instant,
+    pub arrived: Instant,
     /// When its caller or its route gives up.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Prompt tokens and most output tokens.
     pub tokens: Tokens,
     /// Hash of its content.
@@ -98,7 +98,7 @@
 
 /// Checks a request and reads its body.
 pub async fn read(state: &Rc<State>, head: Parts, body: &mut Incoming) -> Result<Call, Reason> {
-    let came = Instant::now();
+    let arrived = Instant::now();
     let settings = match state.settings() {
         Some(settings) if state.listed.get() => settings,
         _ if state.store_away() => return Err(Reason::Unsettled),
@@ -114,11 +114,12 @@
     let names = &state.codec.names;
     let id = head.headers.get(&names.request).and_then(|id| id.to_str().ok());
     let id = id.ok_or(Reason::Malformed)?.to_owned();
-    let until = came + patience(state, &head.headers).unwrap_or(route.timeout).min(route.timeout);
+    let deadline =
+        arrived + patience(state, &head.headers).unwrap_or(route.timeout).min(route.timeout);
     let tokens = tokens(head.headers.get(&names.tokens));
     let headers = passed_on(state, head.headers);
     let mut held = Held { state: state.clone(), bytes: 0 };
-    let body = collect(body, settings.limits.body, until.min(came + BODY), &mut held).await?;
+    let body = collect(body, settings.limits.body, deadline.min(arrived + BODY), &mut held).await?;
     let uri = head.uri.path_and_query().map_or(head.uri.clone(), |p| Uri::from(p.clone()));
     let content = content::fingerprint(workspace.as_deref(), &host, &head.method, &uri, &body);
     Ok(Call {
@@ -131,8 +132,8 @@
         settings,
         workspace,
         rank,
-        came,
-        until,
+        arrived,
+        deadline,
         tokens,
         content,
         held,
@@ -166,8 +167,8 @@
     }
 
     /// Time it still has.
-    pub fn left(&self) -> Duration {
-        self.until.saturating_duration_since(Instant::now())
+    pub fn time_left(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 }
 
@@ -236,7 +237,7 @@
         .filter_map(|v| v.to_str().ok())
         .flat_map(|text| text.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        .filter(|name| !kept.contains(&name) && !names.whole.contains(name))
+        .filter(|name| !kept.contains(&name) && !names.protected.contains(name))
         .collect();
     for name in listed {
         headers.remove(name);
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -20,7 +20,7 @@
 use crate::wire::Hop;
 pub use crossing::Crossing;
 use crossing::spread;
-pub use explain::{believed, explain};
+pub use explain::{describe, explain};
 use load::{Charge, Crowd, FILLED, LINK, READING_FULL, TOLD, crowds, link, millis};
 
 /// Cost of beginning in another data centre, as a part of the whole time of a request. More than
@@ -73,7 +73,9 @@
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
-        self.brings.drain(..).for_each(|(peer, bytes)| peer.begun.borrow_mut().note(now, bytes));
+        self.brings
+            .drain(..)
+            .for_each(|(peer, bytes)| peer.sent_context.borrow_mut().note(now, bytes));
     }
 
     /// Whether a new request may take it, of which a fixed random number is `luck`: of those that want a link between
@@ -83,12 +85,12 @@
     }
 
     /// Notes that an event came along it.
-    pub fn seen(&self, now: Duration) {
-        self.peers.iter().for_each(|peer| peer.seen.set(now));
+    pub fn record_event(&self, now: Duration) {
+        self.peers.iter().for_each(|peer| peer.last_event_at.set(now));
     }
 
     /// Whether one of its servers is suspected.
-    pub fn is_lost(&self, now: Duration) -> bool {
+    pub fn is_suspected(&self, now: Duration) -> bool {
         self.peers.iter().any(|p| p.suspicion.borrow().holds(now))
     }
 }
@@ -105,14 +107,14 @@
     crosses: bool,
 ) -> Option<Path> {
     let zone = zone(&state.setup.zone);
-    let crossing = if crosses { Crossing::USUAL } else { Crossing::NONE };
+    let crossing = if crosses { Crossing::DEFAULT } else { Crossing::NONE };
     let want = Want { from: 0, zone, kept: &[], willing, crossing };
     search(state, service, model, tokens, but, &want)
 }
 
 /// A path that begins like `path` and avoids servers that are suspected. What its servers have
 /// read of a request stays useful, so they are kept where they can be.
-pub fn mend(
+pub fn repath(
     state: &State,
     service: &str,
     model: &Model,
@@ -140,7 +142,7 @@
 
 /// Why there is no path that avoids the servers in `but`. Memory that is full is free again sooner than lost layers are
 /// loaded.
-pub fn no_path(state: &State, service: &str, model: &Model, but: &[String]) -> Reason {
+pub fn no_path_reason(state: &State, service: &str, model: &Model, but: &[String]) -> Reason {
     match whole(state, service, model, but) {
         true if over_limit(state, service, but) => Reason::Limited,
         true => Reason::Full,
@@ -153,7 +155,7 @@
 fn whole(state: &State, service: &str, model: &Model, but: &[String]) -> bool {
     let now = state.now();
     let peers = state.of(service);
-    let taking = |p: &&Rc<Peer>| p.willing(now) && !but.contains(&p.server().id);
+    let taking = |p: &&Rc<Peer>| p.accepts_requests(now) && !but.contains(&p.server().id);
     let spans = peers.iter().filter(taking).map(|p| p.span(now));
     let mut spans: Vec<Span> = spans.collect();
     spans.sort_unstable();
@@ -165,12 +167,14 @@
 fn over_limit(state: &State, service: &str, but: &[String]) -> bool {
     let now = state.now();
     let mut firsts = state.of(service);
-    firsts.retain(|p| p.willing(now) && begins(p, now) && !but.contains(&p.server().id));
+    firsts.retain(|p| {
+        p.accepts_requests(now) && holds_first_layer(p, now) && !but.contains(&p.server().id)
+    });
     !firsts.is_empty() && firsts.iter().all(|p| !p.limited.allows(now))
 }
 
 /// Whether requests can begin at a server.
-pub fn begins(peer: &Peer, now: Duration) -> bool {
+pub fn holds_first_layer(peer: &Peer, now: Duration) -> bool {
     let span = peer.span(now);
     span.from == 0 && !span.is_empty()
 }
@@ -210,7 +214,7 @@
     let holders: Vec<Holder> = peers
         .iter()
         .enumerate()
-        .filter(|(_, p)| if want.willing { p.willing(now) } else { p.usable(now) })
+        .filter(|(_, p)| if want.willing { p.accepts_requests(now) } else { p.usable(now) })
         .filter(|(_, p)| !but.contains(&p.server().id))
         .filter_map(|(i, p)| {
             let kept = want.kept.iter().any(|k| Rc::ptr_eq(k, p));
@@ -226,11 +230,11 @@
     let luck = rand::random();
     let cross_ms = |from: Zone, to: Zone| {
         let (link, others) = (link(state, from, to), crowd_of(from).others);
-        let Crossing { transfer: longest, wait } = want.crossing;
-        if transfer > longest || !link.takes(now, LINK, others, wait) {
+        let Crossing { max_transfer_ms: limit_ms, max_wait } = want.crossing;
+        if transfer > limit_ms || !link.takes(now, LINK, others, max_wait) {
             return f64::INFINITY;
         }
-        let waiting = link.waiting(now, LINK / others).min(wait);
+        let waiting = link.waiting(now, LINK / others).min(max_wait);
         // Of new requests, only as many are let through as the links carry.
         let spread = if want.from > 0 { spread(luck, (from, to)) } else { 0.0 };
         (CROSS + spread) * whole + tokens.answer * shape.cross_ms + millis(waiting)
@@ -254,7 +258,7 @@
             charges.push(Charge::link((before, here), transfer, share));
         }
         if !want.kept.iter().any(|k| Rc::ptr_eq(k, &peer)) {
-            charges.extend(Charge::reading(&peer, model, tokens, part.span, crowd_of(here)));
+            charges.extend(Charge::prefill(&peer, model, tokens, part.span, crowd_of(here)));
             brings.push((peer, bytes * f64::from(part.span.len())));
         }
     }
@@ -294,14 +298,14 @@
     let others = taken_by_all(peer, model, memory, known);
     let taken = peer.context.get().max(others) + bytes * layers;
     let full = taken / memory.max(1.0);
-    let reading = peer.reading.get();
+    let reading = peer.prefill_backlog.get();
     let reads = reading.takes(now, 1.0, crowd.others, READING_FULL);
     let reading = reading.waiting(now, 1.0 / crowd.others).min(READING_FULL);
     // What it has begun, it keeps.
     if !kept && (full > FULL || !reads || peer.running.get() >= entry.slots) {
         return None;
     }
-    let slow = peer.slow.get();
+    let slow = peer.slowdown.get();
     let read = tokens.prompt / shape.read_per_ms * card.read * slow;
     let write = tokens.answer * shape.step_ms * card.pace * slow;
     // Grows without bound as memory fills, so that copies fill evenly.
@@ -342,7 +346,7 @@
             let at = heard.saturating_sub(model.told_after);
             let told = Told { work: part * memory, at, lasting };
             match crowd.own > 0.0 {
-                true => told.now(now, &peer.begun.borrow(), crowd.ratio),
+                true => told.now(now, &peer.sent_context.borrow(), crowd.ratio),
                 // What others send can't be told from what this router does.
                 false => told.work,
             }
@@ -357,13 +361,13 @@
 }
 
 /// Part of a server's memory for requests that is taken, if it has told lately.
-pub fn told_filled(peer: &Peer, now: Duration) -> Option<f64> {
+pub fn reported_fill(peer: &Peer, now: Duration) -> Option<f64> {
     peer.filled.get().filter(|(_, at)| now < *at + FILLED).map(|(part, _)| part)
 }
 
 /// Cost of beginning a request that takes `whole` milliseconds at a server, as far as it told of its slots.
 fn begin_ms(peer: &Peer, now: Duration, whole: f64) -> f64 {
-    let told = peer.told.get().filter(|(_, at)| now < *at + TOLD);
+    let told = peer.reported_load.get().filter(|(_, at)| now < *at + TOLD);
     told.map_or(0.0, |(running, _)| slots::begin_ms(running, peer.server().slots, whole))
 }
 
--- a/crates/gateway/src/route/crossing.rs
+++ b/crates/gateway/src/route/crossing.rs
@@ -14,25 +14,26 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Crossing {
     /// Longest transfer, in milliseconds.
-    pub transfer: f64,
+    pub max_transfer_ms: f64,
     /// How long this router's transfers may wait for a link.
-    pub wait: Duration,
+    pub max_wait: Duration,
 }
 
 impl Crossing {
     /// None at all.
-    pub const NONE: Crossing = Crossing { transfer: 0.0, wait: Duration::ZERO };
+    pub const NONE: Crossing = Crossing { max_transfer_ms: 0.0, max_wait: Duration::ZERO };
 
     /// Any transfer, while few wait.
-    pub const USUAL: Crossing = Crossing { transfer: f64::INFINITY, wait: LINK_FULL };
+    pub const DEFAULT: Crossing = Crossing { max_transfer_ms: f64::INFINITY, max_wait: LINK_FULL };
 
     /// For a stream whose path is mended at once. All streams that passed through a dead server are mended at the same
     /// moment; some sixty of them would wait a second for a link on which each takes longer.
-    pub const AT_ONCE: Crossing = Crossing { transfer: 20.0, wait: LINK_FULL };
+    pub const IMMEDIATE: Crossing = Crossing { max_transfer_ms: 20.0, max_wait: LINK_FULL };
 
     /// For a stream that has no other way. Its caller leaves after two seconds without an event, and some of them have
     /// passed.
-    pub const LAST: Crossing = Crossing { transfer: f64::INFINITY, wait: Duration::from_secs(1) };
+    pub const LAST_RESORT: Crossing =
+        Crossing { max_transfer_ms: f64::INFINITY, max_wait: Duration::from_secs(1) };
 }
 
 /// Random part of the cost of a link, the same as long as `luck` is.
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -40,8 +40,10 @@
         });
         match () {
             () if !peer.usable(now) => silent += 1,
-            () if !peer.willing(now) || but.contains(&peer.server().id) => declined += 1,
-            () if !peer.reading.get().takes(now, 1.0, crowd.others, READING_FULL) => reading += 1,
+            () if !peer.accepts_requests(now) || but.contains(&peer.server().id) => declined += 1,
+            () if !peer.prefill_backlog.get().takes(now, 1.0, crowd.others, READING_FULL) => {
+                reading += 1
+            }
             () if holder(peer, i, model, tokens, false, known(crowd)).is_none() => scarce += 1,
             () => {
                 let span = peer.span(now);
@@ -74,7 +76,7 @@
 }
 
 /// What is believed of a server that declined a request, for the log.
-pub fn believed(peer: &Peer, now: Duration) -> String {
+pub fn describe(peer: &Peer, now: Duration) -> String {
     let (told, age) = match peer.filled.get() {
         Some((part, at)) => (Some(part), Some(now.saturating_sub(at))),
         None => (None, None),
@@ -84,7 +86,7 @@
         peer.span(now),
         peer.running.get(),
         peer.declines.borrow().holds(now),
-        peer.told.get().map(|(running, _)| running)
+        peer.reported_load.get().map(|(running, _)| running)
     )
 }
 
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -60,7 +60,7 @@
 pub(super) fn crowds(peers: &[Rc<Peer>], now: Duration, routers: u32) -> Vec<Crowd> {
     let mut crowds: Vec<Crowd> = Vec::new();
     for peer in peers {
-        let Some((running, _)) = peer.told.get().filter(|(_, at)| now < *at + TOLD) else {
+        let Some((running, _)) = peer.reported_load.get().filter(|(_, at)| now < *at + TOLD) else {
             continue;
         };
         let zone = zone(&peer.server().zone);
@@ -118,7 +118,7 @@
     }
 
     /// A prompt that a server reads through some layers; none if its card is not known.
-    pub(super) fn reading(
+    pub(super) fn prefill(
         peer: &Rc<Peer>,
         model: &Model,
         tokens: Tokens,
@@ -127,7 +127,7 @@
     ) -> Option<Charge> {
         let entry = peer.server();
         let card = entry.card.as_deref().and_then(|name| model.card(name))?;
-        let ms = model.shape.reading_ms(&card, span.len(), peer.slow.get(), tokens.prompt);
+        let ms = model.shape.reading_ms(&card, span.len(), peer.slowdown.get(), tokens.prompt);
         let work = Duration::from_secs_f64(ms / 1e3);
         Some(Charge { at: Place::Server(peer.clone()), work, share: 1.0 / crowd.others })
     }
@@ -154,9 +154,9 @@
         let now = state.now();
         match self.at {
             Place::Server(peer) => {
-                let mut reading = peer.reading.get();
+                let mut reading = peer.prefill_backlog.get();
                 reading.add(now, self.work, self.share);
-                peer.reading.set(reading);
+                peer.prefill_backlog.set(reading);
             }
             Place::Link(ends) => {
                 let mut links = state.links.borrow_mut();
--- a/crates/gateway/src/shared_read/view.rs
+++ b/crates/gateway/src/shared_read/view.rs
@@ -44,7 +44,7 @@
 pub fn note_list(state: &State, end: Offset) {
     let peers = state.peers();
     // The entry of a lapsed server is gone, here and at routers that have dropped it.
-    let listed = peers.iter().filter(|peer| !peer.lapsed());
+    let listed = peers.iter().filter(|peer| !peer.is_expired());
     let digest = listed.map(|peer| peer.digest()).fold(0, Digest::wrapping_add);
     state.sharing.view.set(Some(View { end, digest }));
     compare_with_source(state);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -19,7 +19,7 @@
 use tokio::time::{Instant, timeout_at};
 use tokio_stream::wrappers::ReceiverStream;
 
-use crate::answer::{self, Body, Cut, Reason};
+use crate::answer::{self, Body, BodyError, Reason};
 use crate::crash;
 use crate::event::{Event, Id, Splitter};
 use crate::exchange::Answer;
@@ -216,20 +216,20 @@
         Ok(Opened::Whole(answer)) => return answer,
         Err(Reason::Full) => {
             let again = state.shortage.borrow_mut().refused(state.now());
-            return answer::own_after(Reason::Full, Some(again));
+            return answer::error_after(Reason::Full, Some(again));
         }
         Err(Reason::NoPath) => {
             let again = state.missing.borrow_mut().refused(state.now());
-            return answer::own_after(Reason::NoPath, Some(again));
+            return answer::error_after(Reason::NoPath, Some(again));
         }
         Err(Reason::Limited) => {
             return limited::refuse(state, service);
         }
         Err(Reason::Crashes) => {
             let refusal = crash::refuse(state, &call);
-            return refusal.unwrap_or_else(|| answer::own(Reason::Crashes));
+            return refusal.unwrap_or_else(|| answer::error(Reason::Crashes));
         }
-        Err(reason) => return answer::own(reason),
+        Err(reason) => return answer::error(reason),
     };
     state.shortage.borrow_mut().placed(state.now());
     state.missing.borrow_mut().ends();
@@ -237,7 +237,7 @@
     // The connection's own fields decide later whether it is kept.
     source.answer.head.headers_mut().clone_from(head.headers());
     answer::strip(head.headers_mut());
-    let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, Cut>>(AHEAD);
+    let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, BodyError>>(AHEAD);
     let (runs, sent) = (progress.runs, progress.sent);
     let (but, tries) = (progress.but, progress.tries);
     let (state, service, model) = (state.clone(), service.to_owned(), model.clone());
@@ -272,14 +272,14 @@
     mut progress: Progress<'_>,
     mut source: Source,
     first: Event,
-    sender: mpsc::Sender<Result<Frame<Bytes>, Cut>>,
+    sender: mpsc::Sender<Result<Frame<Bytes>, BodyError>>,
 ) {
     let mut next = Next::Event(first);
     loop {
         let why = match next {
             Next::Event(event) => {
                 progress.last = event.id.or(progress.last);
-                source.path.seen(progress.state.now());
+                source.path.record_event(progress.state.now());
                 progress.say_held_up(&source.path);
                 if sender.send(Ok(Frame::data(event.bytes))).await.is_err() {
                     return progress.gone();
@@ -291,10 +291,10 @@
                 continue;
             }
             Next::End => {
-                progress.state.metrics.streamed(progress.call.came.elapsed());
+                progress.state.metrics.streamed(progress.call.arrived.elapsed());
                 crash::completed(progress.state, progress.call);
-                progress.state.note_lasting(progress.call.came.elapsed());
-                return source.answer.done();
+                progress.state.note_lasting(progress.call.arrived.elapsed());
+                return source.answer.finish();
             }
             Next::Silent(why) => {
                 next = tokio::select! {
@@ -311,7 +311,7 @@
             progress.call.id,
             source.path.first().server().id,
             progress.last,
-            progress.call.came.elapsed()
+            progress.call.arrived.elapsed()
         );
         progress.held_up = "resumed";
         progress.leave(&source);
@@ -355,7 +355,7 @@
             self.runs.iter().filter(|run| run.broken.is_some()).count(),
             self.obstacle.map_or_else(|| "none".to_owned(), |o| o.to_string()),
             self.unmended.map_or_else(|| "none".to_owned(), |u| u.to_string()),
-            self.call.came.elapsed()
+            self.call.arrived.elapsed()
         )
     }
 
@@ -404,7 +404,7 @@
     let now = state.now();
     let known = peer.declines.borrow().holds(now);
     peer.declines.borrow_mut().fail(now);
-    let full = route::told_filled(peer, now).is_some_and(|part| part > NEARLY_FULL);
+    let full = route::reported_fill(peer, now).is_some_and(|part| part > NEARLY_FULL);
     if !known && !full {
         state.announce(Notice::Declines { server: peer.server().id.clone() });
     }
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -86,7 +86,7 @@
                 Ok(Opened::Stream(source, event)) => return Some((source, event)),
                 Ok(Opened::Whole(_)) => return None,
                 Err(reason)
-                    if Instant::now() >= self.call.until
+                    if Instant::now() >= self.call.deadline
                         || self.tries >= TRIES
                         || reason == Reason::Crashes =>
                 {
@@ -147,7 +147,7 @@
     /// Finds a path and waits for its first event; tries others while that is allowed.
     pub(super) async fn open(&mut self) -> Result<Opened, Reason> {
         let mut reason = None;
-        let until = self.call.came + self.call.route.goal.mul_f64(PLACE);
+        let until = self.call.arrived + self.call.route.goal.mul_f64(PLACE);
         while self.tries < TRIES {
             let _alone = match self.admit().await {
                 Ok(alone) => alone,
@@ -230,7 +230,7 @@
     }
 
     fn no_path(&self) -> Reason {
-        route::no_path(self.state, self.service, self.model, &self.but)
+        route::no_path_reason(self.state, self.service, self.model, &self.but)
     }
 
     /// A path; a new request waits for one until then if the servers are only full.
@@ -240,7 +240,7 @@
     /// many wait, few of them would get a place in time, so the rest are refused at once.
     async fn place(&self, until: Instant) -> Option<Path> {
         let now = self.state.now();
-        limited::ask(self.state, self.service, |peer| route::begins(peer, now)).await;
+        limited::ask(self.state, self.service, |peer| route::holds_first_layer(peer, now)).await;
         let path = self.path();
         if path.is_some() || self.last.is_some() || self.state.placeless.get() >= WAITING {
             return path;
@@ -288,7 +288,7 @@
     fn but_breaking(&self) -> Vec<String> {
         let now = self.state.now();
         let peers = self.state.of(self.service);
-        let broke = peers.iter().filter(|p| p.has_broken(now)).map(|p| p.server().id.clone());
+        let broke = peers.iter().filter(|p| p.broke_recently(now)).map(|p| p.server().id.clone());
         self.but.iter().cloned().chain(broke).collect()
     }
 
@@ -304,7 +304,7 @@
         let outcome = {
             let (state, call) = (self.state, self.call);
             let (need, fields) = (self.need(), self.fields(&path, &id));
-            let sending = exchange::send(state, &peer, call, need, fields, call.until);
+            let sending = exchange::send(state, &peer, call, need, fields, call.deadline);
             tokio::pin!(sending);
             let mut wait = self.call.route.goal.mul_f64(SILENT_START).max(SHORTEST);
             let mut silent = false;
@@ -322,9 +322,9 @@
                     wait += LOOK;
                     self.look_into(&path).await;
                 }
-                let lost = path.is_lost(self.state.now());
+                let lost = path.is_suspected(self.state.now());
                 // Servers that stay on the path need not read the prompt again, and it is no repeat.
-                if lost && (due || !silent) && self.mend(&mut path, Crossing::AT_ONCE).await {
+                if lost && (due || !silent) && self.mend(&mut path, Crossing::IMMEDIATE).await {
                     silent = false;
                     continue;
                 }
@@ -381,7 +381,7 @@
         let first = path.first().clone();
         if status != StatusCode::OK {
             let again = status.is_server_error() && self.may_run_again().await;
-            let whole = answer.collect(self.call.until).await;
+            let whole = answer.collect(self.call.deadline).await;
             if whole.is_some() {
                 crash::completed(self.state, self.call);
             }
@@ -391,7 +391,7 @@
                 first.server().id
             );
             return match whole {
-                Some((head, body)) if !again => Ok(Opened::Whole(answer::whole(head, body))),
+                Some((head, body)) if !again => Ok(Opened::Whole(answer::from_server(head, body))),
                 _ => {
                     self.avoid(&first);
                     Err(Failed::Unknown)
@@ -408,7 +408,7 @@
         match next {
             Next::Event(event) => {
                 self.state.metrics.first_event(source.began.elapsed());
-                source.path.first().went_on();
+                source.path.first().count_continued();
                 crash::reached(self.state, self.call, event.id.map_or(1, |id| id + 1));
                 Ok(Opened::Stream(source, event))
             }
@@ -428,7 +428,7 @@
             self.call.id,
             culprit.as_ref().map(|p| p.server().id.clone()),
             self.last.is_none(),
-            culprit.as_ref().map_or_else(String::new, |p| route::believed(p, self.state.now()))
+            culprit.as_ref().map_or_else(String::new, |p| route::describe(p, self.state.now()))
         );
         match culprit {
             Some(peer) => {
@@ -437,7 +437,7 @@
                 // If it is dead rather than full, the streams that pass through it are helped at once.
                 let state = self.state.clone();
                 tokio::task::spawn_local(async move {
-                    for dead in probe::ask_all(&state, &[peer]).await {
+                    for dead in probe::find_silent(&state, &[peer]).await {
                         probe::suspect(&state, &dead, "no answer to a probe");
                     }
                 });
--- a/crates/gateway/src/stream/watch.rs
+++ b/crates/gateway/src/stream/watch.rs
@@ -27,13 +27,13 @@
         source.since = Instant::now();
         let mut wait = source.pause.mul_f64(SILENCE).max(SHORTEST);
         loop {
-            let (last, until) = (self.last, self.call.until);
+            let (last, until) = (self.last, self.call.deadline);
             let due = source.since + wait;
             let came = tokio::select! {
                 came = timeout_at(due, source.event(last, until)) => came,
                 () = self.state.lost.notified() => {
                     let overdue = source.pause.mul_f64(OVERDUE);
-                    match source.path.is_lost(self.state.now()) {
+                    match source.path.is_suspected(self.state.now()) {
                         true if source.since.elapsed() >= overdue => return Next::Silent(NO_ANSWER),
                         true => wait = wait.min(overdue),
                         false => {}
@@ -71,18 +71,18 @@
         self.held_up = "silent path";
         self.avoid(source.path.first());
         let mut look = Instant::now();
-        let mut crossing = Crossing::AT_ONCE;
+        let mut crossing = Crossing::IMMEDIATE;
         loop {
             if Instant::now() >= look {
                 look = Instant::now() + LOOK;
-                let lost = source.path.is_lost(self.state.now());
+                let lost = source.path.is_suspected(self.state.now());
                 let lost = lost || self.look_into(&source.path).await;
                 if lost && self.mend(&mut source.path, crossing).await {
                     return self.next(source).await;
                 }
-                crossing = Crossing::USUAL;
+                crossing = Crossing::DEFAULT;
             }
-            let event = source.event(self.last, self.call.until);
+            let event = source.event(self.last, self.call.deadline);
             match self.beside(event, |next| matches!(next, Next::Broken(_))).await {
                 Beside::Kept(next) => return next,
                 Beside::Other(fresh, event) => {
@@ -102,7 +102,7 @@
     /// If none of several servers answers at the same moment, it is this router that stood still or is cut
     /// off. Taking them all for dead would break live streams and leave no path to mend them with.
     pub(super) async fn look_into(&mut self, path: &Path) -> bool {
-        let (asked, dead) = probe::ask_path(self.state, &path.peers).await;
+        let (asked, dead) = probe::find_silent_on_path(self.state, &path.peers).await;
         if dead.len() > 1 && dead.len() == asked {
             log::info!("gateway: request={} silent=all servers={}", self.call.id, dead.len());
             return false;
@@ -133,16 +133,16 @@
             self.unmended = Some(Unmended::FirstSilent);
             return false;
         }
-        let crossing = if last { Crossing::LAST } else { crossing };
+        let crossing = if last { Crossing::LAST_RESORT } else { crossing };
         let size = self.call.tokens;
-        let found = route::mend(self.state, self.service, self.model, size, path, crossing);
+        let found = route::repath(self.state, self.service, self.model, size, path, crossing);
         let Some(mut mended) = found else {
             self.unmended = Some(Unmended::NoPath);
             return false;
         };
         mended.charge(self.state);
         let ask = (self.state.codec.repath)(&self.call.id, &mended.hops);
-        let answer = probe::ask(mended.first(), ask, MEND).await;
+        let answer = probe::send(mended.first(), ask, MEND).await;
         let done = answer.as_ref().is_ok_and(|(status, _)| status.is_success());
         log::info!(
             "gateway: request={} repath={done} first={} answer={:?} last_event={:?} path={}",
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -44,12 +44,12 @@
     /// Version of the weights that is expected.
     pub weights: HeaderName,
     /// Further fields that a caller can't have removed on the way.
-    pub whole: Vec<HeaderName>,
+    pub protected: Vec<HeaderName>,
 }
 
 /// A call to a model server that is no caller's request.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct Command {
     /// Method.
     pub method: Method,
     /// Path.
@@ -85,13 +85,13 @@
     /// Path that the balancer asks.
     pub ready: &'static str,
     /// Asks a model server for its state.
-    pub report: fn() -> Ask,
+    pub report: fn() -> Command,
     /// Reads the answer.
     pub read_report: fn(&[u8]) -> Option<Report>,
     /// Orders a model server to hold layers.
-    pub order: fn(&Order) -> Ask,
+    pub order: fn(&Order) -> Command,
     /// Orders the first server of a path to have a running request go on along another path.
-    pub repath: fn(&str, &[Hop]) -> Ask,
+    pub repath: fn(&str, &[Hop]) -> Command,
     /// Writes a path.
     pub path: fn(&[Hop]) -> String,
 }
--- a/crates/gateway/tests/event.rs
+++ b/crates/gateway/tests/event.rs
@@ -1,6 +1,6 @@
 //! Events cut out of bytes that arrive in any pieces.
 
-use gateway::event::{LONGEST, Splitter};
+use gateway::event::{MAX_EVENT_BYTES, Splitter};
 use rstest::rstest;
 
 /// Bytes may be cut anywhere on the way, also inside the empty line that ends an event.
@@ -54,5 +54,5 @@
         splitter.push(&[b'x'; 1024]);
         assert!(splitter.next().is_none());
     }
-    const { assert!(LONGEST < 1 << 20) };
+    const { assert!(MAX_EVENT_BYTES < 1 << 20) };
 }
