--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -40,14 +40,14 @@
 
 /// Part of the descriptors that callers' connections may take; each needs another one to a
 /// backend server.
-const CALLERS: f64 = 0.45;
+const CALLER_FRACTION: f64 = 0.45;
 
 /// How often a connection is looked at for callers that are too slow or idle.
-const LOOK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Idle time after which a connection is closed, beyond what the settings say. A request that
 /// is on its way at that moment would be lost.
-const IDLE_MORE: Duration = Duration::from_millis(1500);
+const IDLE_MARGIN: Duration = Duration::from_millis(1500);
 
 /// Binds a listener.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -65,12 +65,12 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let most = f64::from(state.setup.descriptors) * CALLERS;
-                if f64::from(state.callers.get()) >= most {
+                let max_open = f64::from(state.setup.descriptors) * CALLER_FRACTION;
+                if f64::from(state.callers.get()) >= max_open {
                     log::warn!("gateway: connection refused open={}", state.callers.get());
                     continue;
                 }
-                tokio::task::spawn_local(connection(state.clone(), stream));
+                tokio::task::spawn_local(serve_connection(state.clone(), stream));
             }
             Err(e) => {
                 log::warn!("gateway: accepting a connection failed: {e}");
@@ -144,7 +144,7 @@
     }
 }
 
-async fn connection(state: Rc<State>, stream: TcpStream) {
+async fn serve_connection(state: Rc<State>, stream: TcpStream) {
     let _open = Counted::new(&state.callers);
     if let Err(e) = stream.set_nodelay(true) {
         log::debug!("gateway: small answers may be delayed: {e}");
@@ -171,20 +171,20 @@
                 }
                 return;
             }
-            () = sleep(LOOK) => match look(&state, &activity) {
-                Look::Fine => {}
-                Look::Close if closing => {}
-                Look::Close => {
+            () = sleep(CHECK_INTERVAL) => match check(&state, &activity) {
+                Check::Fine => {}
+                Check::Close if closing => {}
+                Check::Close => {
                     closing = true;
                     connection.as_mut().graceful_shutdown();
                 }
-                Look::Slow => return log::info!("gateway: connection closed why=slow head"),
+                Check::Slow => return log::info!("gateway: connection closed why=slow head"),
             },
         }
     }
 }
 
-enum Look {
+enum Check {
     Fine,
     /// Close as soon as what was read is answered.
     Close,
@@ -193,14 +193,14 @@
 }
 
 /// Decides whether a connection has been idle or incomplete for too long.
-fn look(state: &State, activity: &Activity) -> Look {
-    let Some(settings) = state.settings() else { return Look::Fine };
+fn check(state: &State, activity: &Activity) -> Check {
+    let Some(settings) = state.settings() else { return Check::Fine };
     let quiet = activity.read.get().elapsed();
     match activity.serving.get() {
-        0 if activity.partial.get() && quiet > settings.limits.head_time => Look::Slow,
-        0 if quiet > settings.limits.idle + IDLE_MORE => Look::Close,
-        0 if state.stopping.get().is_some() && quiet > LOOK => Look::Close,
-        _ => Look::Fine,
+        0 if activity.partial.get() && quiet > settings.limits.head_time => Check::Slow,
+        0 if quiet > settings.limits.idle + IDLE_MARGIN => Check::Close,
+        0 if state.stopping.get().is_some() && quiet > CHECK_INTERVAL => Check::Close,
+        _ => Check::Fine,
     }
 }
 
@@ -211,7 +211,7 @@
 ) -> Result<Response<Body>, Infallible> {
     activity.partial.set(false);
     let _on_connection = Counted::new(&activity.serving);
-    let _here = Counted::new(&state.serving);
+    let _serving = Counted::new(&state.serving);
     let mut response = answer(&state, request).await;
     activity.read.set(Instant::now());
     activity.partial.set(false);
@@ -253,7 +253,7 @@
 
 /// Sends a checked request to its service.
 async fn dispatch(state: &Rc<State>, call: Call) -> Response<Body> {
-    let Some(name) = target(&call.route) else {
+    let Some(name) = choose_target(&call.route) else {
         state.metrics.refused(Reason::NoServer);
         return answer::error(Reason::NoServer);
     };
@@ -266,7 +266,7 @@
         return answer::error(Reason::Stopping);
     }
     if let Some(response) = crash::refuse(state, &call) {
-        say_ending(state, &call, &name, &response);
+        log_failure(state, &call, &name, &response);
         return response;
     }
     let call = Rc::new(call);
@@ -275,13 +275,13 @@
         None => plain::serve(state, &call, &name).await,
     };
     if response.status() != StatusCode::OK {
-        say_ending(state, &call, &name, &response);
+        log_failure(state, &call, &name, &response);
     }
     response
 }
 
 /// Says how a request ended that was not answered well, by whom and why.
-fn say_ending(state: &State, call: &Call, service: &str, response: &Response<Body>) {
+fn log_failure(state: &State, call: &Call, service: &str, response: &Response<Body>) {
     let reason = answer::reason(response);
     let outcome = match reason {
         Some(reason) if reason.is_refusal() => {
@@ -305,7 +305,7 @@
 }
 
 /// The service that a request of this route goes to, by weight.
-fn target(route: &Route) -> Option<String> {
+fn choose_target(route: &Route) -> Option<String> {
     let total: u32 = route.targets.iter().map(|t| t.weight).sum();
     let mut at = if total > 1 { rand::rng().random_range(0..total) } else { 0 };
     let chosen = route.targets.iter().find(|t| {
--- a/crates/gateway/src/event.rs
+++ b/crates/gateway/src/event.rs
@@ -52,30 +52,30 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Splitter {
-    held: BytesMut,
-    seen: usize,
+    buffer: BytesMut,
+    scanned: usize,
 }
 
 impl Splitter {
     /// Adds bytes as they arrived.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Whether nothing of an unfinished event is held.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.buffer.is_empty()
     }
 
     /// Whether the unfinished event is longer than any event may be.
     pub fn overflows(&self) -> bool {
-        self.held.len() > MAX_EVENT_BYTES
+        self.buffer.len() > MAX_EVENT_BYTES
     }
 
     fn end(&mut self) -> Option<usize> {
-        let from = self.seen.saturating_sub(3);
-        let found = self.held[from..].windows(2).position(|w| w == b"\n\n");
-        self.seen = self.held.len();
+        let from = self.scanned.saturating_sub(3);
+        let found = self.buffer[from..].windows(2).position(|w| w == b"\n\n");
+        self.scanned = self.buffer.len();
         found.map(|at| from + at + 2)
     }
 }
@@ -85,8 +85,8 @@
 
     fn next(&mut self) -> Option<Event> {
         let end = self.end()?;
-        let bytes = self.held.copy_to_bytes(end);
-        self.seen = 0;
+        let bytes = self.buffer.copy_to_bytes(end);
+        self.scanned = 0;
         Some(Event { id: id(&bytes), bytes })
     }
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -21,7 +21,7 @@
 use crate::store::Log;
 
 /// Longest answer of a plain service that is collected before the caller gets any of it.
-const LONGEST: usize = 8 << 20;
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
 /// What came of sending a request.
 #[derive(Debug)]
@@ -45,14 +45,14 @@
     pub head: Response<()>,
     /// The rest of it.
     pub body: Incoming,
-    link: Connection,
+    connection: Connection,
     peer: Rc<Peer>,
 }
 
 impl Answer {
     /// Keeps the connection after the body was read to its end.
     pub fn finish(self) {
-        self.peer.pool.keep(self.link, self.head.headers());
+        self.peer.pool.keep(self.connection, self.head.headers());
     }
 
     /// Reads the whole body. None if it breaks off, is too long, or time is up.
@@ -65,7 +65,7 @@
                     if let Some(data) = frame.data_ref() {
                         whole.extend_from_slice(data);
                     }
-                    if whole.len() > LONGEST {
+                    if whole.len() > MAX_ANSWER_BYTES {
                         return None;
                     }
                 }
@@ -92,34 +92,34 @@
     until: Instant,
 ) -> Outcome {
     // What may run once only is not risked on a connection that its server may just be closing.
-    let link = match call.route.class.repeatable() {
+    let connection = match call.route.class.repeatable() {
         true => peer.pool.take().await,
         false => peer.pool.connect().await,
     };
-    let link = match link {
-        Ok(link) => link,
+    let connection = match connection {
+        Ok(connection) => connection,
         Err(e) => {
             peer.pool.clear();
             return Outcome::NotSent(e.to_string());
         }
     };
-    say_sent(state, peer, call);
-    let used = link.reused;
-    let outcome = exchange(state, peer, call, &extra, link, until).await;
+    log_sent(state, peer, call);
+    let reused = connection.reused;
+    let outcome = exchange(state, peer, call, &extra, connection, until).await;
     // A used connection that ends before any byte of the answer was most likely idle too long.
-    let idle = used && call.route.class.repeatable() && matches!(outcome, Outcome::Unknown(_));
-    if !idle || Instant::now() >= until || !may_send_anew(state, peer, need).await {
+    let idle = reused && call.route.class.repeatable() && matches!(outcome, Outcome::Unknown(_));
+    if !idle || Instant::now() >= until || !may_resend(state, peer, need).await {
         return outcome;
     }
     log::debug!("gateway: request={} sent anew: {outcome:?}", call.id);
     match peer.pool.connect().await {
-        Ok(link) => exchange(state, peer, call, &extra, link, until).await,
+        Ok(connection) => exchange(state, peer, call, &extra, connection, until).await,
         Err(e) => Outcome::Unknown(e.to_string()),
     }
 }
 
 /// Takes a repeat and the server's permit for a request that is sent there anew.
-async fn may_send_anew(state: &Rc<State>, peer: &Peer, need: Need) -> bool {
+async fn may_resend(state: &Rc<State>, peer: &Peer, need: Need) -> bool {
     let service = peer.server().service.clone();
     if !peer.limited.allows(state.now()) {
         return false;
@@ -130,7 +130,7 @@
 }
 
 /// Logs what is believed of the server that a request is sent to.
-fn say_sent(state: &State, peer: &Peer, call: &Call) {
+fn log_sent(state: &State, peer: &Peer, call: &Call) {
     let (server, entry, now) = (peer.server(), peer.entry(), state.now());
     log::info!(
         "gateway: request={} sent_to={} sequence={:?} offset={} heard={:?} ago list={}",
@@ -148,7 +148,7 @@
     peer: &Rc<Peer>,
     call: &Call,
     extra: &HeaderMap,
-    mut link: Connection,
+    mut connection: Connection,
     until: Instant,
 ) -> Outcome {
     let mut request = Request::new(Full::new(call.body.clone()));
@@ -162,25 +162,25 @@
     request.headers_mut().insert(&state.codec.names.deadline, HeaderValue::from(left));
     let sent = Instant::now();
     peer.sent.borrow_mut().note(state.now());
-    let answer = match timeout_at(until, link.sender.try_send_request(request)).await {
+    let answer = match timeout_at(until, connection.sender.try_send_request(request)).await {
         Err(_) => return Outcome::Late,
         Ok(Err(mut e)) => {
-            let kept = e.take_message().is_some();
+            let unsent = e.take_message().is_some();
             let why = e.into_error().to_string();
-            return if kept { Outcome::NotSent(why) } else { Outcome::Unknown(why) };
+            return if unsent { Outcome::NotSent(why) } else { Outcome::Unknown(why) };
         }
         Ok(Ok(answer)) => answer,
     };
-    judge(state, peer, call, answer, link, sent.elapsed())
+    classify(state, peer, call, answer, connection, sent.elapsed())
 }
 
 /// Decides whether an answer is this request's, and whether the request ran.
-fn judge(
+fn classify(
     state: &Rc<State>,
     peer: &Rc<Peer>,
     call: &Call,
     answer: Response<Incoming>,
-    link: Connection,
+    connection: Connection,
     took: Duration,
 ) -> Outcome {
     let names = &state.codec.names;
@@ -198,7 +198,7 @@
         let (head, body) = answer.into_parts();
         drop(body);
         // Its short body is not read: the connection is not worth keeping for that.
-        drop(link);
+        drop(connection);
         return Outcome::NotRun(head.status, culprit);
     }
     if !headers.contains_key(&names.stamp) || headers.contains_key(CONTENT_ENCODING) {
@@ -212,7 +212,7 @@
     }
     let (parts, body) = answer.into_parts();
     let head = Response::from_parts(parts, ());
-    Outcome::Answer(Box::new(Answer { head, body, link, peer: peer.clone() }))
+    Outcome::Answer(Box::new(Answer { head, body, connection, peer: peer.clone() }))
 }
 
 /// Requests that a server has: those that it runs and those that wait there for a slot.
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -21,7 +21,7 @@
 
 /// How long a notice of layers that were just loaded goes before the server's own entry, which is
 /// written every heartbeat and read every second.
-const FRESH: Duration = Duration::from_millis(3500);
+const RECORDED_SPAN_VALIDITY: Duration = Duration::from_millis(3500);
 
 /// Which entry of a server is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -187,7 +187,7 @@
     /// The layers it holds.
     pub fn span(&self, now: Duration) -> Span {
         match self.fresh.get() {
-            Some((span, at)) if now < at + FRESH => span,
+            Some((span, at)) if now < at + RECORDED_SPAN_VALIDITY => span,
             _ => self.server.borrow().span,
         }
     }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -23,21 +23,21 @@
 use crate::state::State;
 
 /// Servers asked for one request at most, counting those that decline it.
-const TRIES: usize = 4;
+const MAX_TRIES: usize = 4;
 
 /// Part of a repeatable request's goal after which another server is asked. The answer of the
 /// second one then still comes within the goal, where the first has lost it.
-const PATIENCE: f64 = 0.6;
+const SLOW_FRACTION: f64 = 0.6;
 
 /// Shortest time a server is given before another one is asked.
-const SHORTEST: Duration = Duration::from_millis(100);
+const MIN_ANSWER_TIME: Duration = Duration::from_millis(100);
 
 /// Multiple of a server's mean time that it is given at least: one answer in a hundred takes five
 /// times the usual, and asking twice for each of these would double the load of a slow service.
-const USUAL: f64 = 4.0;
+const MEAN_TIME_FACTOR: f64 = 4.0;
 
 /// What came of asking one server.
-enum Tried {
+enum Attempt {
     /// Its whole answer.
     Answered(Response<()>, Bytes),
     /// Its answer broke off.
@@ -64,7 +64,7 @@
     /// Servers that have run it, or may have.
     ran: u32,
     /// Ends when it is known whether the last server that broke off has ended.
-    looked: Option<JoinHandle<()>>,
+    end_check: Option<JoinHandle<()>>,
     /// What the caller gets if nothing better comes.
     fallback: Response<Body>,
 }
@@ -75,41 +75,41 @@
 /// or be slower still.
 pub async fn serve(state: &Rc<State>, call: &Call, service: &str) -> Response<Body> {
     let (asked, fallback) = (Vec::new(), answer::error(Reason::NoServer));
-    let mut progress = Progress { state, call, service, asked, ran: 0, looked: None, fallback };
+    let mut progress = Progress { state, call, service, asked, ran: 0, end_check: None, fallback };
     let mut pending = FuturesUnordered::new();
     limited::ask(state, service, |_| true).await;
     let mut next = choose(state, service, &progress.asked);
     if next.is_none() && over_limit(state, service) {
         return limited::refuse(state, service);
     }
-    let mut patience = None;
+    let mut slow_timer = None;
     loop {
         if let Some(peer) = next.take().filter(|peer| peer.limited.take(state.now())) {
             progress.asked.push(peer.server().id.clone());
-            patience = Some((limit(call, &peer), peer.clone()));
+            slow_timer = Some((slow_deadline(call, &peer), peer.clone()));
             pending.push(ask(state, call, peer));
         }
         let running = pending.len() as u32;
-        let slow_at = patience.as_ref().filter(|_| progress.may_ask(running)).map(|(at, _)| *at);
-        let (peer, tried) = tokio::select! {
-            Some(tried) = pending.next() => tried,
+        let slow_at = slow_timer.as_ref().filter(|_| progress.may_ask(running)).map(|(at, _)| *at);
+        let (peer, attempt) = tokio::select! {
+            Some(attempt) = pending.next() => attempt,
             () = sleep_until(slow_at.unwrap_or(call.deadline)), if slow_at.is_some() => {
-                next = progress.repeat().await;
-                if let (true, Some((_, slow))) = (next.is_some(), patience.take()) {
-                    note_slow(call, &slow);
+                next = progress.retry().await;
+                if let (true, Some((_, slow))) = (next.is_some(), slow_timer.take()) {
+                    record_slow(call, &slow);
                 }
                 continue;
             }
             else => return progress.fallback,
         };
-        if let Some(answer) = progress.note(&peer, tried, pending.len() as u32) {
+        if let Some(answer) = progress.handle_attempt(&peer, attempt, pending.len() as u32) {
             return answer;
         }
         if pending.is_empty() {
             if call.time_left().is_zero() || !progress.may_ask(0) {
                 return progress.fallback;
             }
-            next = progress.repeat().await;
+            next = progress.retry().await;
             if next.is_none() {
                 return progress.fallback;
             }
@@ -122,13 +122,13 @@
     fn may_ask(&self, running: u32) -> bool {
         let route = &self.call.route;
         let repeats = running == 0 || route.class.repeatable();
-        repeats && self.ran + running < route.attempts && self.asked.len() < TRIES
+        repeats && self.ran + running < route.attempts && self.asked.len() < MAX_TRIES
     }
 
     /// Another server, if there is one and a repeat is left for it.
-    async fn repeat(&mut self) -> Option<Rc<Peer>> {
-        if let Some(looked) = self.looked.take() {
-            let _ = timeout(crash::KNOWN, looked).await;
+    async fn retry(&mut self) -> Option<Rc<Peer>> {
+        if let Some(end_check) = self.end_check.take() {
+            let _ = timeout(crash::KNOWN, end_check).await;
         }
         if crash::is_stopped(self.state, self.call) {
             return None;
@@ -139,10 +139,15 @@
     }
 
     /// Takes over what came of asking a server; the caller's answer if it is that.
-    fn note(&mut self, peer: &Rc<Peer>, tried: Tried, running: u32) -> Option<Response<Body>> {
+    fn handle_attempt(
+        &mut self,
+        peer: &Rc<Peer>,
+        attempt: Attempt,
+        running: u32,
+    ) -> Option<Response<Body>> {
         let (state, call) = (self.state, self.call);
-        match tried {
-            Tried::Answered(head, body) => {
+        match attempt {
+            Attempt::Answered(head, body) => {
                 self.ran += 1;
                 crash::completed(state, call);
                 peer.count_continued();
@@ -153,13 +158,13 @@
                 }
                 self.fallback = answer;
             }
-            Tried::NotSent(why) => pass_over(state, peer, &why),
-            Tried::Stopped if self.ran + running == 0 => {
+            Attempt::NotSent(why) => mark_suspect(state, peer, &why),
+            Attempt::Stopped if self.ran + running == 0 => {
                 let refusal = crash::refuse(state, call);
                 return Some(refusal.unwrap_or_else(|| answer::error(Reason::Crashes)));
             }
-            Tried::Stopped => {}
-            Tried::NotRun(status) => {
+            Attempt::Stopped => {}
+            Attempt::NotRun(status) => {
                 let id = &peer.server().id;
                 log::info!("gateway: request={} server={id} declined status={status}", call.id);
                 if self.ran == 0 {
@@ -169,10 +174,10 @@
                     peer.record_failure(state.now());
                 }
             }
-            Tried::Broken | Tried::Unknown(_) => {
+            Attempt::Broken | Attempt::Unknown(_) => {
                 self.ran += 1;
-                self.looked = Some(crash::note_broken(state, call, peer, 0));
-                if let Tried::Unknown(why) = tried {
+                self.end_check = Some(crash::note_broken(state, call, peer, 0));
+                if let Attempt::Unknown(why) = attempt {
                     let id = &peer.server().id;
                     log::info!(
                         "gateway: request={} server={id} outcome=unknown why={why}",
@@ -184,9 +189,9 @@
                     return Some(answer::error(Reason::Lost));
                 }
             }
-            Tried::Late => {
-                note_slow(call, peer);
-                return Some(late(state, call, peer));
+            Attempt::Late => {
+                record_slow(call, peer);
+                return Some(answer_late(state, call, peer));
             }
         }
         None
@@ -194,35 +199,35 @@
 }
 
 /// Sends a request to one server and waits for its whole answer, until the caller's time is up.
-async fn ask(state: &Rc<State>, call: &Call, peer: Rc<Peer>) -> (Rc<Peer>, Tried) {
+async fn ask(state: &Rc<State>, call: &Call, peer: Rc<Peer>) -> (Rc<Peer>, Attempt) {
     let _alone = match crash::admit(state, call, false).await {
         Ok(alone) => alone,
-        Err(_) => return (peer, Tried::Stopped),
+        Err(_) => return (peer, Attempt::Stopped),
     };
     let _load = Load::new(peer.clone(), 0.0);
     let fields = fields(state, call, &peer.server().id);
-    let tried = match exchange::send(state, &peer, call, Need::New, fields, call.deadline).await {
+    let attempt = match exchange::send(state, &peer, call, Need::New, fields, call.deadline).await {
         Outcome::Answer(answer) => match answer.collect(call.deadline).await {
-            Some((head, body)) => Tried::Answered(head, body),
-            None if Instant::now() >= call.deadline => Tried::Late,
-            None => Tried::Broken,
+            Some((head, body)) => Attempt::Answered(head, body),
+            None if Instant::now() >= call.deadline => Attempt::Late,
+            None => Attempt::Broken,
         },
-        Outcome::NotSent(why) => Tried::NotSent(why),
-        Outcome::NotRun(status, _) => Tried::NotRun(status),
-        Outcome::Unknown(why) => Tried::Unknown(why),
-        Outcome::Late => Tried::Late,
+        Outcome::NotSent(why) => Attempt::NotSent(why),
+        Outcome::NotRun(status, _) => Attempt::NotRun(status),
+        Outcome::Unknown(why) => Attempt::Unknown(why),
+        Outcome::Late => Attempt::Late,
     };
-    (peer, tried)
+    (peer, attempt)
 }
 
 /// Counts an answer that did not come in time in its server's mean.
-fn note_slow(call: &Call, peer: &Peer) {
+fn record_slow(call: &Call, peer: &Peer) {
     let mut pace = peer.pace.get();
     pace.add(call.route.goal.as_secs_f64() * 2e3);
     peer.pace.set(pace);
 }
 
-fn late(state: &State, call: &Call, peer: &Peer) -> Response<Body> {
+fn answer_late(state: &State, call: &Call, peer: &Peer) -> Response<Body> {
     log::info!(
         "gateway: request={} server={} outcome=late age={:?}",
         call.id,
@@ -235,7 +240,7 @@
 
 /// Passes over a server that can't be reached. The other routers are not told: a router that is itself cut off
 /// would take the few servers of the service from all of them, and each finds out by one connection.
-fn pass_over(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
+fn mark_suspect(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
     if peer.record_failure(state.now()) {
         crash::note_silent(state, peer);
         log::warn!("gateway: server={} suspect=true why={why}", peer.server().id);
@@ -243,16 +248,16 @@
 }
 
 /// How long a server gets before another one is asked.
-fn limit(call: &Call, peer: &Peer) -> Instant {
-    let usual = Duration::from_secs_f64(peer.pace.get().mean() * USUAL / 1e3);
-    let time = call.route.goal.mul_f64(PATIENCE).max(SHORTEST).max(usual);
+fn slow_deadline(call: &Call, peer: &Peer) -> Instant {
+    let usual = Duration::from_secs_f64(peer.pace.get().mean() * MEAN_TIME_FACTOR / 1e3);
+    let time = call.route.goal.mul_f64(SLOW_FRACTION).max(MIN_ANSWER_TIME).max(usual);
     (Instant::now() + time).min(call.deadline)
 }
 
-fn choose(state: &State, service: &str, but: &[String]) -> Option<Rc<Peer>> {
+fn choose(state: &State, service: &str, excluded: &[String]) -> Option<Rc<Peer>> {
     let now = state.now();
     let mut peers = state.of(service);
-    peers.retain(|p| p.ready() && p.limited.allows(now) && !but.contains(&p.server().id));
+    peers.retain(|p| p.ready() && p.limited.allows(now) && !excluded.contains(&p.server().id));
     let healthy: Vec<_> = peers.iter().filter(|p| p.usable(now)).cloned().collect();
     // If all are suspected, the suspicion is more likely about the way there than about each.
     let from = if healthy.is_empty() { peers } else { healthy };
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -21,21 +21,21 @@
 
 /// Time for a connection to be made. Round trips take a few milliseconds; a lost opening packet
 /// is sent again after a second, and another server answers sooner than that.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which unacknowledged bytes end a connection. A server behind a cut would otherwise
 /// keep it for minutes.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Idle connections kept to one server. More are open at once only in a burst.
-const IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Longest time an idle connection is used again if its server says nothing of it. Servers close
 /// idle ones after a few seconds, and what is sent at that moment is reset.
-const REUSE: Duration = Duration::from_secs(3);
+const DEFAULT_REUSE_TIME: Duration = Duration::from_secs(3);
 
 /// Part of the time a server says it keeps an idle connection, in which it is used again.
-const KEEP_PART: f64 = 0.6;
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
 /// Why there is no connection.
 #[derive(Debug, Clone, Display, Error)]
@@ -121,7 +121,7 @@
     /// A new connection.
     pub async fn connect(&self) -> Result<Connection, Fault> {
         let fault = |why: String, cause| Fault { peer: self.address, why, cause };
-        let stream = match timeout(CONNECT, open(self.address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, open(self.address)).await {
             Ok(stream) => {
                 let cause = |e: &io::Error| match e.kind() {
                     io::ErrorKind::ConnectionRefused => Cause::Refused,
@@ -153,11 +153,11 @@
             .get(hyper::header::CONNECTION)
             .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
         let mut idle = self.idle.borrow_mut();
-        if closes || link.sender.is_closed() || idle.len() >= IDLE {
+        if closes || link.sender.is_closed() || idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
         link.reused = true;
-        idle.push(Idle { link, until: Instant::now() + reuse(headers) });
+        idle.push(Idle { link, until: Instant::now() + reuse_time(headers) });
     }
 
     /// Drops all idle connections.
@@ -167,12 +167,14 @@
 }
 
 /// How long an idle connection is used again.
-fn reuse(headers: &HeaderMap) -> Duration {
-    let said = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|text| {
+fn reuse_time(headers: &HeaderMap) -> Duration {
+    let announced = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|text| {
         let seconds = text.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
         seconds.trim().parse::<u32>().ok()
     });
-    said.map_or(REUSE, |s| Duration::from_secs(s.into()).mul_f64(KEEP_PART).min(REUSE * 4))
+    announced.map_or(DEFAULT_REUSE_TIME, |s| {
+        Duration::from_secs(s.into()).mul_f64(KEEP_ALIVE_FRACTION).min(DEFAULT_REUSE_TIME * 4)
+    })
 }
 
 async fn open(address: SocketAddr) -> io::Result<TcpStream> {
@@ -182,7 +184,7 @@
     };
     socket.set_nodelay(true)?;
     let stream = socket.connect(address).await?;
-    if let Err(e) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED)) {
+    if let Err(e) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)) {
         log::debug!("gateway: no limit for unacknowledged bytes to {address}: {e}");
     }
     Ok(stream)
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -20,21 +20,21 @@
 
 /// Time a server gets to answer a probe. A round trip takes up to two milliseconds, so a live one
 /// answers far sooner; a longer wait would be added to the pause that the caller sees.
-const PROBE: Duration = Duration::from_millis(45);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(45);
 
 /// Multiple of this process's own delay that is added to a probe's time. A VM that is slow itself
 /// would otherwise take all servers for dead.
-const LAGS: u32 = 4;
+const LAG_FACTOR: u32 = 4;
 
 /// Time between two measurements of this process's own delay.
-const LAG_LOOK: Duration = Duration::from_millis(100);
+const LAG_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Measures by how much timers are late here, which tells how slow this VM is.
 pub async fn measure_lag(state: Rc<State>) {
     loop {
         let before = Instant::now();
-        tokio::time::sleep(LAG_LOOK).await;
-        let late = before.elapsed().saturating_sub(LAG_LOOK);
+        tokio::time::sleep(LAG_INTERVAL).await;
+        let late = before.elapsed().saturating_sub(LAG_INTERVAL);
         // A delay is forgotten over about a second.
         state.lag.set(late.max(state.lag.get().mul_f64(0.8)));
     }
@@ -42,7 +42,7 @@
 
 /// Time for which the answer to a probe holds. When a server dies, all streams that pass through it
 /// fall silent within a pass of each other, and each asks all servers of its path.
-const FRESH: Duration = Duration::from_millis(150);
+const PROBE_VALIDITY: Duration = Duration::from_millis(150);
 
 /// Time a server gets to answer an order or a question that nothing waits for.
 pub const BACKGROUND_TIMEOUT: Duration = Duration::from_millis(600);
@@ -53,46 +53,50 @@
 
 /// The same with what this process's own delay adds.
 pub fn urgent_timeout(state: &State) -> Duration {
-    URGENT_TIMEOUT + state.lag.get() * LAGS
+    URGENT_TIMEOUT + state.lag.get() * LAG_FACTOR
 }
 
 /// Sends a question or an order; the status and body of the answer.
 pub async fn send(
     peer: &Peer,
-    ask: Command,
+    command: Command,
     limit: Duration,
 ) -> Result<(StatusCode, Vec<u8>), String> {
-    ask_over(peer, ask, limit, false).await
+    send_over(peer, command, limit, false).await
 }
 
 /// The same; over a kept connection if `kept`. A kept one may have gone silent while its server
 /// lives, so what depends on the answer goes over a new one.
-async fn ask_over(
+async fn send_over(
     peer: &Peer,
-    ask: Command,
+    command: Command,
     limit: Duration,
-    kept: bool,
+    reuse: bool,
 ) -> Result<(StatusCode, Vec<u8>), String> {
-    match timeout(limit, exchange(peer, ask, kept)).await {
+    match timeout(limit, exchange(peer, command, reuse)).await {
         Ok(answer) => answer,
         Err(_) => Err(format!("no answer from {} within {limit:?}", peer.server().address)),
     }
 }
 
-async fn exchange(peer: &Peer, ask: Command, kept: bool) -> Result<(StatusCode, Vec<u8>), String> {
-    let link = if kept { peer.pool.take().await } else { peer.pool.connect().await };
-    let mut link = link.map_err(|e| e.to_string())?;
-    let mut request = Request::new(Full::new(ask.body));
-    *request.method_mut() = ask.method;
-    *request.uri_mut() = ask.path.parse().map_err(|e| format!("path {}: {e}", ask.path))?;
+async fn exchange(
+    peer: &Peer,
+    command: Command,
+    reuse: bool,
+) -> Result<(StatusCode, Vec<u8>), String> {
+    let connection = if reuse { peer.pool.take().await } else { peer.pool.connect().await };
+    let mut connection = connection.map_err(|e| e.to_string())?;
+    let mut request = Request::new(Full::new(command.body));
+    *request.method_mut() = command.method;
+    *request.uri_mut() = command.path.parse().map_err(|e| format!("path {}: {e}", command.path))?;
     let host = HeaderValue::from_str(&peer.server().address.to_string()).expect("an address");
     request.headers_mut().insert(HOST, host);
     request.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     let fault = |e: hyper::Error| format!("asking {}: {e}", peer.server().address);
-    let answer = link.sender.send_request(request).await.map_err(fault)?;
+    let answer = connection.sender.send_request(request).await.map_err(fault)?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(fault)?.to_bytes();
-    peer.pool.keep(link, &head.headers);
+    peer.pool.keep(connection, &head.headers);
     Ok((head.status, body.to_vec()))
 }
 
@@ -104,7 +108,7 @@
 
 /// Asks a server for its state, over a kept connection first.
 pub async fn fetch_report_pooled(state: &State, peer: &Peer) -> Result<Report, String> {
-    match ask_over(peer, (state.codec.report)(), BACKGROUND_TIMEOUT, true).await {
+    match send_over(peer, (state.codec.report)(), BACKGROUND_TIMEOUT, true).await {
         Ok((status, body)) => read(state, peer, status, &body),
         Err(_) => fetch_report(state, peer, BACKGROUND_TIMEOUT).await,
     }
@@ -120,14 +124,14 @@
 
 /// Asks servers at the same time; those that do not answer.
 pub async fn find_silent(state: &State, peers: &[Rc<Peer>]) -> Vec<Rc<Peer>> {
-    let answers = join_all(peers.iter().map(|peer| alive(state, peer))).await;
-    let dead = answers.iter().zip(peers).filter(|(alive, _)| !**alive);
+    let answers = join_all(peers.iter().map(|peer| is_alive(state, peer))).await;
+    let dead = answers.iter().zip(peers).filter(|(is_alive, _)| !**is_alive);
     dead.map(|(_, peer)| peer.clone()).collect()
 }
 
 /// Time for which an event that came through a server shows that it lives. Shorter than any silence that is
 /// looked into, so that an event from before that silence shows nothing.
-const SHOWN: Duration = Duration::from_millis(40);
+const EVENT_VALIDITY: Duration = Duration::from_millis(40);
 
 /// Asks the servers of a silent path, the first one and those through which no other stream has just got an
 /// event; how many were asked, and those that do not answer.
@@ -137,21 +141,21 @@
 /// hears the answers so late that it takes live servers for dead.
 pub async fn find_silent_on_path(state: &State, path: &[Rc<Peer>]) -> (usize, Vec<Rc<Peer>>) {
     let now = state.now();
-    let shown = |peer: &Rc<Peer>| now < peer.last_event_at.get() + SHOWN;
+    let shown = |peer: &Rc<Peer>| now < peer.last_event_at.get() + EVENT_VALIDITY;
     let asked = path.iter().enumerate().filter(|(i, peer)| *i == 0 || !shown(peer));
     let asked: Vec<Rc<Peer>> = asked.map(|(_, peer)| peer.clone()).collect();
     (asked.len(), find_silent(state, &asked).await)
 }
 
-async fn alive(state: &State, peer: &Peer) -> bool {
+async fn is_alive(state: &State, peer: &Peer) -> bool {
     !peer.suspicion.borrow().holds(state.now())
-        && answering(state, peer, Duration::ZERO, PROBE).await.is_some()
+        && probe(state, peer, Duration::ZERO, PROBE_TIMEOUT).await.is_some()
 }
 
 /// Whether a server that started at `born` does not answer this router any more after `since`, whatever others say of
 /// it. One that started again under its name has ended as well. A live one may be too slow for a probe, so it gets longer.
 pub async fn has_ended(state: &State, peer: &Peer, born: u64, since: Duration) -> bool {
-    match answering(state, peer, since, URGENT_TIMEOUT).await {
+    match probe(state, peer, since, URGENT_TIMEOUT).await {
         None => true,
         // Not every server says when it started.
         Some(start) => start != born && start != 0 && born != 0,
@@ -165,24 +169,24 @@
 }
 
 /// Servers of a data centre that are asked at most to see whether this router reaches it.
-const NEARBY: usize = 2;
+const MAX_NEARBY_PROBES: usize = 2;
 
 /// Whether a server that fell silent without closing its connections has ended or is cut off: nothing listens at its address,
 /// or its VM takes no connection while another server of its data centre answers. One that takes connections may be at work,
 /// and where no other server answers, it is this router that is cut off.
 pub async fn is_gone(state: &State, peer: &Peer) -> bool {
-    let mut reached = peer.reachability.lock().await;
-    if state.now() < reached.at + FRESH {
-        return reached.gone;
+    let mut reachability = peer.reachability.lock().await;
+    if state.now() < reachability.at + PROBE_VALIDITY {
+        return reachability.gone;
     }
-    let (made, nearby) = tokio::join!(peer.pool.connect(), reaches_nearby(state, peer));
-    let gone = match made.map_err(|fault| fault.cause) {
+    let (connected, nearby) = tokio::join!(peer.pool.connect(), reaches_nearby(state, peer));
+    let gone = match connected.map_err(|fault| fault.cause) {
         Err(Cause::Refused) => true,
         Err(Cause::Silent) => nearby,
         Ok(_) | Err(Cause::Other) => false,
     };
     log::info!("gateway: server={} gone={gone} others_answer={nearby}", peer.server().id);
-    *reached = Reachability { at: state.now(), gone };
+    *reachability = Reachability { at: state.now(), gone };
     gone
 }
 
@@ -195,20 +199,20 @@
         other.zone == server.zone && other.id != server.id && !p.suspicion.borrow().holds(since)
     });
     nearby.sort_by_key(|p| std::cmp::Reverse(p.last_event_at.get()));
-    nearby.truncate(NEARBY);
-    let asked = nearby.iter().map(|p| answering(state, p, since, URGENT_TIMEOUT));
+    nearby.truncate(MAX_NEARBY_PROBES);
+    let asked = nearby.iter().map(|p| probe(state, p, since, URGENT_TIMEOUT));
     join_all(asked).await.iter().any(Option::is_some)
 }
 
 /// Asks a server whether it lives, unless that was just done, after `since` and with as much time to answer; when the
 /// start of it that answers began.
-async fn answering(state: &State, peer: &Peer, since: Duration, limit: Duration) -> Option<u64> {
+async fn probe(state: &State, peer: &Peer, since: Duration, limit: Duration) -> Option<u64> {
     let mut asked = peer.last_probe.lock().await;
-    let fresh = since <= asked.at && state.now() < asked.at + FRESH;
+    let fresh = since <= asked.at && state.now() < asked.at + PROBE_VALIDITY;
     if fresh && (asked.start.is_some() || limit <= asked.limit) {
         return asked.start;
     }
-    let start = match fetch_report(state, peer, limit + state.lag.get() * LAGS).await {
+    let start = match fetch_report(state, peer, limit + state.lag.get() * LAG_FACTOR).await {
         Ok(report) => {
             peer.slowdown.set(report.pace.max(1.0));
             peer.record_span(report.span, state.now());
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -20,15 +20,15 @@
 use crate::state::State;
 
 /// Longest time for a body to arrive, from the end of the head on.
-const BODY: Duration = Duration::from_secs(8);
+const BODY_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Longest time in which the rest of a refused request's body is read, and most bytes of it. A caller that sends
 /// more, or slower, may lose its answer.
-const DISCARD: Duration = Duration::from_secs(3);
-const DISCARDED: usize = 4 << 20;
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
+const MAX_DISCARDED_BYTES: usize = 4 << 20;
 
 /// Part of the VM's memory that bodies of requests may take together.
-const BODIES: f64 = 0.25;
+const BODY_MEMORY_FRACTION: f64 = 0.25;
 
 /// A request that may be sent to backend servers.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
     pub tokens: Tokens,
     /// Hash of its content.
     pub content: Fingerprint,
-    held: Held,
+    reservation: Reservation,
 }
 
 /// Size of a model's request.
@@ -73,21 +73,21 @@
 
 /// Memory held by a body, given back when dropped.
 #[derive(Debug)]
-struct Held {
+struct Reservation {
     state: Rc<State>,
     bytes: usize,
 }
 
-impl Drop for Held {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.state.bodies.set(self.state.bodies.get() - self.bytes);
     }
 }
 
-impl Held {
+impl Reservation {
     fn grow(&mut self, bytes: usize) -> Result<(), Reason> {
-        let most = (self.state.setup.memory as f64 * BODIES) as usize;
-        if self.state.bodies.get() + bytes > most {
+        let max_bytes = (self.state.setup.memory as f64 * BODY_MEMORY_FRACTION) as usize;
+        if self.state.bodies.get() + bytes > max_bytes {
             return Err(Reason::NoMemory);
         }
         self.bytes += bytes;
@@ -106,7 +106,7 @@
     };
     let host = host(&head.headers, &head.uri)?;
     let route = settings.route(&host, head.uri.path()).ok_or(Reason::NoRoute)?.clone();
-    let (workspace, rank) = caller(state, &settings, &route, &head.headers)?;
+    let (workspace, rank) = authenticate(state, &settings, &route, &head.headers)?;
     check_framing(&head.headers)?;
     if body.size_hint().lower() > settings.limits.body as u64 {
         return Err(Reason::TooLong);
@@ -115,11 +115,13 @@
     let id = head.headers.get(&names.request).and_then(|id| id.to_str().ok());
     let id = id.ok_or(Reason::Malformed)?.to_owned();
     let deadline =
-        arrived + patience(state, &head.headers).unwrap_or(route.timeout).min(route.timeout);
+        arrived + caller_timeout(state, &head.headers).unwrap_or(route.timeout).min(route.timeout);
     let tokens = tokens(head.headers.get(&names.tokens));
-    let headers = passed_on(state, head.headers);
-    let mut held = Held { state: state.clone(), bytes: 0 };
-    let body = collect(body, settings.limits.body, deadline.min(arrived + BODY), &mut held).await?;
+    let headers = forwarded_headers(state, head.headers);
+    let mut reservation = Reservation { state: state.clone(), bytes: 0 };
+    let body =
+        collect(body, settings.limits.body, deadline.min(arrived + BODY_TIMEOUT), &mut reservation)
+            .await?;
     let uri = head.uri.path_and_query().map_or(head.uri.clone(), |p| Uri::from(p.clone()));
     let content = content::fingerprint(workspace.as_deref(), &host, &head.method, &uri, &body);
     Ok(Call {
@@ -136,7 +138,7 @@
         deadline,
         tokens,
         content,
-        held,
+        reservation,
     })
 }
 
@@ -152,18 +154,18 @@
         let mut bytes = 0;
         while let Some(Ok(frame)) = body.frame().await {
             bytes += frame.data_ref().map_or(0, Bytes::len);
-            if bytes > DISCARDED {
+            if bytes > MAX_DISCARDED_BYTES {
                 return log::info!("gateway: a refused body was left unread bytes={bytes}");
             }
         }
     };
-    tokio::task::spawn_local(tokio::time::timeout(DISCARD, rest));
+    tokio::task::spawn_local(tokio::time::timeout(DISCARD_TIMEOUT, rest));
 }
 
 impl Call {
     /// Bytes of its body.
     pub fn size(&self) -> usize {
-        self.held.bytes
+        self.reservation.bytes
     }
 
     /// Time it still has.
@@ -182,7 +184,7 @@
 }
 
 /// Finds the workspace that holds the caller's key.
-fn caller(
+fn authenticate(
     state: &State,
     settings: &Settings,
     route: &Route,
@@ -212,7 +214,7 @@
     }
 }
 
-fn patience(state: &State, headers: &HeaderMap) -> Option<Duration> {
+fn caller_timeout(state: &State, headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(&state.codec.names.deadline)?.to_str().ok()?;
     text.trim().parse::<u64>().ok().map(Duration::from_millis)
 }
@@ -227,7 +229,7 @@
 
 /// Fields that go on to the backend server: all but those of the connection and those that this
 /// router sets itself, which a caller could otherwise forge.
-fn passed_on(state: &State, mut headers: HeaderMap) -> HeaderMap {
+fn forwarded_headers(state: &State, mut headers: HeaderMap) -> HeaderMap {
     let names = &state.codec.names;
     let kept =
         [&names.request, &names.tokens, &names.last_event, &names.weights, &names.deadline, &HOST];
@@ -252,23 +254,23 @@
 
 async fn collect(
     body: &mut Incoming,
-    most: usize,
+    max_bytes: usize,
     until: Instant,
-    held: &mut Held,
+    reservation: &mut Reservation,
 ) -> Result<Bytes, Reason> {
-    let mut whole = BytesMut::new();
+    let mut collected = BytesMut::new();
     loop {
         match timeout_at(until, body.frame()).await {
             Err(_) => return Err(Reason::SlowCaller),
-            Ok(None) => return Ok(whole.freeze()),
+            Ok(None) => return Ok(collected.freeze()),
             Ok(Some(Err(_))) => return Err(Reason::Malformed),
             Ok(Some(Ok(frame))) => {
                 let Some(data) = frame.data_ref() else { continue };
-                if whole.len() + data.len() > most {
+                if collected.len() + data.len() > max_bytes {
                     return Err(Reason::TooLong);
                 }
-                held.grow(data.len())?;
-                whole.extend_from_slice(data);
+                reservation.grow(data.len())?;
+                collected.extend_from_slice(data);
             }
         }
     }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -21,33 +21,36 @@
 pub use crossing::Crossing;
 use crossing::spread;
 pub use explain::{describe, explain};
-use load::{Charge, Crowd, FILLED, LINK, READING_FULL, TOLD, crowds, link, millis};
+use load::{
+    Charge, FILL_VALIDITY, LOAD_VALIDITY, MAX_LINK_UTILIZATION, MAX_PREFILL_WAIT, ZoneLoad,
+    link_meter, millis, zone_loads,
+};
 
 /// Cost of beginning in another data centre, as a part of the whole time of a request. More than
 /// the copies differ in speed, so that each data centre's requests stay there while its copy is
 /// whole, and small against what a missing layer costs.
-const AWAY: f64 = 0.35;
+const REMOTE_START_COST: f64 = 0.35;
 
 /// Part of a server's memory for requests up to which this router sends it more. Other routers
 /// send to it too, and a request that meets full memory is declined or preempts another.
-const FULL: f64 = 0.97;
+const MAX_MEMORY_FILL: f64 = 0.97;
 
 /// Time for a token to get to the next server of a path in the same data centre, in milliseconds.
-const HOP: f64 = 0.2;
+const HOP_MS: f64 = 0.2;
 
 /// Cost of going on in another data centre, as a part of the whole time of a request. All paths share
 /// one link between data centres, which some seventy prompts a second fill; paths that cross it
 /// for speed alone would leave nothing for those that have no other way. Such a path also ends with
 /// the loss of a server in either data centre.
-const CROSS: f64 = 0.5;
+const CROSSING_COST: f64 = 0.5;
 
 /// Cost of a server that has all of this router's requests over one that has none. More than two servers of
 /// the same card differ, and less than what another card or a further hop takes; at 0.4, requests
 /// take slow ways round and the grown deployments lose 0.01 to 0.02 of their worth.
-const EVEN: f64 = 0.15;
+const BALANCE_COST: f64 = 0.15;
 
 /// Part of the cost of a server that has read the request already.
-const KEPT: f64 = 0.3;
+const KEPT_COST_FACTOR: f64 = 0.3;
 
 /// A path of one request.
 #[derive(Debug)]
@@ -59,7 +62,7 @@
     loads: Vec<Load>,
     charges: Vec<Charge>,
     /// Bytes of context that the request brings to servers which have none of it.
-    brings: Vec<(Rc<Peer>, f64)>,
+    new_context: Vec<(Rc<Peer>, f64)>,
 }
 
 impl Path {
@@ -73,15 +76,15 @@
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
-        self.brings
+        self.new_context
             .drain(..)
             .for_each(|(peer, bytes)| peer.sent_context.borrow_mut().note(now, bytes));
     }
 
     /// Whether a new request may take it, of which a fixed random number is `luck`: of those that want a link between
     /// data centres, all routers together send as many as it carries. With `wants`, it is counted among them.
-    pub fn may_cross(&self, state: &State, luck: f64, wants: bool) -> bool {
-        self.charges.iter().all(|charge| charge.allows(state, luck, wants))
+    pub fn may_cross(&self, state: &State, random: f64, wants: bool) -> bool {
+        self.charges.iter().all(|charge| charge.allows(state, random, wants))
     }
 
     /// Notes that an event came along it.
@@ -102,14 +105,14 @@
     service: &str,
     model: &Model,
     tokens: Tokens,
-    but: &[String],
-    willing: bool,
-    crosses: bool,
+    excluded: &[String],
+    accepting_only: bool,
+    may_cross: bool,
 ) -> Option<Path> {
     let zone = zone(&state.setup.zone);
-    let crossing = if crosses { Crossing::DEFAULT } else { Crossing::NONE };
-    let want = Want { from: 0, zone, kept: &[], willing, crossing };
-    search(state, service, model, tokens, but, &want)
+    let crossing = if may_cross { Crossing::DEFAULT } else { Crossing::NONE };
+    let constraints = Constraints { from: 0, zone, kept: &[], accepting_only, crossing };
+    search(state, service, model, tokens, excluded, &constraints)
 }
 
 /// A path that begins like `path` and avoids servers that are suspected. What its servers have
@@ -124,16 +127,16 @@
 ) -> Option<Path> {
     let first = path.first();
     let hop = path.hops[0];
-    let but = [first.server().id.clone()];
-    let want = Want {
+    let excluded = [first.server().id.clone()];
+    let constraints = Constraints {
         from: hop.span.to,
         zone: zone(&first.server().zone),
         kept: &path.peers,
-        willing: true,
+        accepting_only: true,
         crossing,
     };
-    let mut rest = search(state, service, model, tokens, &but, &want)?;
-    let bytes = size(model, tokens) * f64::from(hop.span.len());
+    let mut rest = search(state, service, model, tokens, &excluded, &constraints)?;
+    let bytes = context_bytes(model, tokens) * f64::from(hop.span.len());
     rest.peers.insert(0, first.clone());
     rest.hops.insert(0, hop);
     rest.loads.push(Load::new(first.clone(), bytes));
@@ -142,9 +145,9 @@
 
 /// Why there is no path that avoids the servers in `but`. Memory that is full is free again sooner than lost layers are
 /// loaded.
-pub fn no_path_reason(state: &State, service: &str, model: &Model, but: &[String]) -> Reason {
-    match whole(state, service, model, but) {
-        true if over_limit(state, service, but) => Reason::Limited,
+pub fn no_path_reason(state: &State, service: &str, model: &Model, excluded: &[String]) -> Reason {
+    match covers_all_layers(state, service, model, excluded) {
+        true if over_limit(state, service, excluded) => Reason::Limited,
         true => Reason::Full,
         false if state.store_away() => Reason::NoPathAway,
         false => Reason::NoPath,
@@ -152,10 +155,10 @@
 }
 
 /// Whether each layer of the model is held by some server that takes requests and is not in `but`.
-fn whole(state: &State, service: &str, model: &Model, but: &[String]) -> bool {
+fn covers_all_layers(state: &State, service: &str, model: &Model, excluded: &[String]) -> bool {
     let now = state.now();
     let peers = state.of(service);
-    let taking = |p: &&Rc<Peer>| p.accepts_requests(now) && !but.contains(&p.server().id);
+    let taking = |p: &&Rc<Peer>| p.accepts_requests(now) && !excluded.contains(&p.server().id);
     let spans = peers.iter().filter(taking).map(|p| p.span(now));
     let mut spans: Vec<Span> = spans.collect();
     spans.sort_unstable();
@@ -164,11 +167,11 @@
 }
 
 /// Whether a request could begin only at servers that name limits, which are used up.
-fn over_limit(state: &State, service: &str, but: &[String]) -> bool {
+fn over_limit(state: &State, service: &str, excluded: &[String]) -> bool {
     let now = state.now();
     let mut firsts = state.of(service);
     firsts.retain(|p| {
-        p.accepts_requests(now) && holds_first_layer(p, now) && !but.contains(&p.server().id)
+        p.accepts_requests(now) && holds_first_layer(p, now) && !excluded.contains(&p.server().id)
     });
     !firsts.is_empty() && firsts.iter().all(|p| !p.limited.allows(now))
 }
@@ -180,17 +183,17 @@
 }
 
 /// Where a path is to begin.
-struct Want<'a> {
+struct Constraints<'a> {
     from: u32,
     zone: Zone,
     /// Servers that have read the request already.
     kept: &'a [Rc<Peer>],
-    willing: bool,
+    accepting_only: bool,
     crossing: Crossing,
 }
 
 /// Bytes of context in one layer.
-fn size(model: &Model, tokens: Tokens) -> f64 {
+fn context_bytes(model: &Model, tokens: Tokens) -> f64 {
     (tokens.prompt + tokens.answer) * model.shape.token_bytes
 }
 
@@ -199,67 +202,70 @@
     service: &str,
     model: &Model,
     tokens: Tokens,
-    but: &[String],
-    want: &Want<'_>,
+    excluded: &[String],
+    constraints: &Constraints<'_>,
 ) -> Option<Path> {
     let now = state.now();
     let peers: Vec<Rc<Peer>> = state.of(service);
     let shape = &model.shape;
-    let bytes = size(model, tokens);
-    let crowds = crowds(&peers, now, state.routers());
-    let crowd_of = |zone: Zone| {
-        let found = crowds.binary_search_by_key(&zone, |c| c.zone);
-        found.map_or(Crowd::unknown(zone, state.routers()), |at| crowds[at])
+    let bytes = context_bytes(model, tokens);
+    let zone_loads = zone_loads(&peers, now, state.routers());
+    let load_of = |zone: Zone| {
+        let found = zone_loads.binary_search_by_key(&zone, |c| c.zone);
+        found.map_or(ZoneLoad::unknown(zone, state.routers()), |at| zone_loads[at])
     };
-    let holders: Vec<Holder> = peers
-        .iter()
-        .enumerate()
-        .filter(|(_, p)| if want.willing { p.accepts_requests(now) } else { p.usable(now) })
-        .filter(|(_, p)| !but.contains(&p.server().id))
-        .filter_map(|(i, p)| {
-            let kept = want.kept.iter().any(|k| Rc::ptr_eq(k, p));
-            let crowd = crowd_of(zone(&p.server().zone));
-            let known = Known { now, crowd, lasting: state.lasting.get() };
-            let mut holder = holder(p, i, model, tokens, kept, known)?;
-            holder.layer_ms *= if kept { KEPT } else { 1.0 };
-            Some(holder)
-        })
-        .collect();
-    let whole = whole_ms(shape, tokens, 10.0);
+    let holders: Vec<Holder> =
+        peers
+            .iter()
+            .enumerate()
+            .filter(|(_, p)| {
+                if constraints.accepting_only { p.accepts_requests(now) } else { p.usable(now) }
+            })
+            .filter(|(_, p)| !excluded.contains(&p.server().id))
+            .filter_map(|(i, p)| {
+                let kept = constraints.kept.iter().any(|k| Rc::ptr_eq(k, p));
+                let zone_load = load_of(zone(&p.server().zone));
+                let snapshot = Snapshot { now, zone_load, lasting: state.lasting.get() };
+                let mut holder = holder(p, i, model, tokens, kept, snapshot)?;
+                holder.layer_ms *= if kept { KEPT_COST_FACTOR } else { 1.0 };
+                Some(holder)
+            })
+            .collect();
+    let total_ms = request_ms(shape, tokens, 10.0);
     let transfer = (tokens.prompt + tokens.answer) * shape.cross_token_ms;
-    let luck = rand::random();
+    let random = rand::random();
     let cross_ms = |from: Zone, to: Zone| {
-        let (link, others) = (link(state, from, to), crowd_of(from).others);
-        let Crossing { max_transfer_ms: limit_ms, max_wait } = want.crossing;
-        if transfer > limit_ms || !link.takes(now, LINK, others, max_wait) {
+        let (link, zone_ratio) = (link_meter(state, from, to), load_of(from).zone_ratio);
+        let Crossing { max_transfer_ms: limit_ms, max_wait } = constraints.crossing;
+        if transfer > limit_ms || !link.takes(now, MAX_LINK_UTILIZATION, zone_ratio, max_wait) {
             return f64::INFINITY;
         }
-        let waiting = link.waiting(now, LINK / others).min(max_wait);
+        let waiting = link.waiting(now, MAX_LINK_UTILIZATION / zone_ratio).min(max_wait);
         // Of new requests, only as many are let through as the links carry.
-        let spread = if want.from > 0 { spread(luck, (from, to)) } else { 0.0 };
-        (CROSS + spread) * whole + tokens.answer * shape.cross_ms + millis(waiting)
+        let spread = if constraints.from > 0 { spread(random, (from, to)) } else { 0.0 };
+        (CROSSING_COST + spread) * total_ms + tokens.answer * shape.cross_ms + millis(waiting)
     };
     let ask = Ask {
-        from: want.from,
+        from: constraints.from,
         layers: shape.layers,
-        zone: want.zone,
-        away_ms: AWAY * whole,
+        zone: constraints.zone,
+        away_ms: REMOTE_START_COST * total_ms,
         cross_ms: &cross_ms,
     };
     let (parts, _) = path::find(&holders, &ask)?;
     let of = |part: &path::Part| peers[part.server].clone();
-    let (mut charges, mut brings) = (Vec::new(), Vec::new());
-    let mut before = (want.from > 0).then_some(want.zone);
+    let (mut charges, mut new_context) = (Vec::new(), Vec::new());
+    let mut before = (constraints.from > 0).then_some(constraints.zone);
     for part in &parts {
         let peer = of(part);
         let here = zone(&peer.server().zone);
         if let Some(before) = before.replace(here).filter(|before| *before != here) {
-            let share = LINK / crowd_of(before).others;
+            let share = MAX_LINK_UTILIZATION / load_of(before).zone_ratio;
             charges.push(Charge::link((before, here), transfer, share));
         }
-        if !want.kept.iter().any(|k| Rc::ptr_eq(k, &peer)) {
-            charges.extend(Charge::prefill(&peer, model, tokens, part.span, crowd_of(here)));
-            brings.push((peer, bytes * f64::from(part.span.len())));
+        if !constraints.kept.iter().any(|k| Rc::ptr_eq(k, &peer)) {
+            charges.extend(Charge::prefill(&peer, model, tokens, part.span, load_of(here)));
+            new_context.push((peer, bytes * f64::from(part.span.len())));
         }
     }
     Some(Path {
@@ -267,12 +273,12 @@
         loads: parts.iter().map(|p| Load::new(of(p), bytes * f64::from(p.span.len()))).collect(),
         peers: parts.iter().map(of).collect(),
         charges,
-        brings,
+        new_context,
     })
 }
 
 /// Time of a request on cards of that pace.
-fn whole_ms(shape: &Shape, tokens: Tokens, pace: f64) -> f64 {
+fn request_ms(shape: &Shape, tokens: Tokens, pace: f64) -> f64 {
     tokens.prompt / shape.read_per_ms * pace + tokens.answer * shape.step_ms * pace
 }
 
@@ -282,9 +288,9 @@
     model: &Model,
     tokens: Tokens,
     kept: bool,
-    known: Known,
+    snapshot: Snapshot,
 ) -> Option<Holder> {
-    let Known { now, crowd, .. } = known;
+    let Snapshot { now, zone_load, .. } = snapshot;
     let entry = peer.server();
     let card = model.card(entry.card.as_deref()?)?;
     let span = peer.span(now);
@@ -293,36 +299,36 @@
     }
     let shape = &model.shape;
     let layers = f64::from(span.len());
-    let bytes = if kept { 0.0 } else { size(model, tokens) };
+    let bytes = if kept { 0.0 } else { context_bytes(model, tokens) };
     let memory = card.bytes - layers * shape.layer_bytes;
-    let others = taken_by_all(peer, model, memory, known);
-    let taken = peer.context.get().max(others) + bytes * layers;
+    let in_use = memory_in_use(peer, model, memory, snapshot);
+    let taken = peer.context.get().max(in_use) + bytes * layers;
     let full = taken / memory.max(1.0);
     let reading = peer.prefill_backlog.get();
-    let reads = reading.takes(now, 1.0, crowd.others, READING_FULL);
-    let reading = reading.waiting(now, 1.0 / crowd.others).min(READING_FULL);
+    let reads = reading.takes(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
+    let reading = reading.waiting(now, 1.0 / zone_load.zone_ratio).min(MAX_PREFILL_WAIT);
     // What it has begun, it keeps.
-    if !kept && (full > FULL || !reads || peer.running.get() >= entry.slots) {
+    if !kept && (full > MAX_MEMORY_FILL || !reads || peer.running.get() >= entry.slots) {
         return None;
     }
     let slow = peer.slowdown.get();
     let read = tokens.prompt / shape.read_per_ms * card.read * slow;
     let write = tokens.answer * shape.step_ms * card.pace * slow;
     // Grows without bound as memory fills, so that copies fill evenly.
-    let full = full.min(FULL);
+    let full = full.min(MAX_MEMORY_FILL);
     let scarce = 1.0 / (1.0 - full * full);
     // Where layers are held twice, the server with fewer of this router's requests goes first: a loss then
     // breaks off half as many, and each half is read again in half the time.
-    let part = (f64::from(peer.running.get()) / crowd.own.max(1.0)).min(1.0);
-    let shared = 1.0 + EVEN * part;
+    let part = (f64::from(peer.running.get()) / zone_load.own.max(1.0)).min(1.0);
+    let shared = 1.0 + BALANCE_COST * part;
     Some(Holder {
         server,
         zone: zone(&entry.zone),
         span,
         layer_ms: (read + write) / f64::from(shape.layers) * scarce * shared,
-        hop_ms: HOP * tokens.answer + millis(reading),
+        hop_ms: HOP_MS * tokens.answer + millis(reading),
         begin_ms: match peer.limited.allows(now) {
-            true => begin_ms(peer, now, whole_ms(shape, tokens, 10.0)),
+            true => begin_ms(peer, now, request_ms(shape, tokens, 10.0)),
             false => f64::INFINITY,
         },
     })
@@ -330,30 +336,30 @@
 
 /// What is known of the load at one moment.
 #[derive(Debug, Clone, Copy)]
-struct Known {
+struct Snapshot {
     now: Duration,
-    crowd: Crowd,
+    zone_load: ZoneLoad,
     /// How long requests last.
     lasting: Duration,
 }
 
 /// Bytes of a server's memory for requests that those of all routers take, by what it told and what was sent since, or
 /// else as far as this router's own say: at most all that run in the data centre.
-fn taken_by_all(peer: &Peer, model: &Model, memory: f64, known: Known) -> f64 {
-    let Known { now, crowd, lasting } = known;
-    match peer.filled.get().filter(|(_, at)| now < *at + FILLED) {
+fn memory_in_use(peer: &Peer, model: &Model, memory: f64, snapshot: Snapshot) -> f64 {
+    let Snapshot { now, zone_load, lasting } = snapshot;
+    match peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY) {
         Some((part, heard)) => {
             let at = heard.saturating_sub(model.told_after);
             let told = Told { work: part * memory, at, lasting };
-            match crowd.own > 0.0 {
-                true => told.now(now, &peer.sent_context.borrow(), crowd.ratio),
+            match zone_load.own > 0.0 {
+                true => told.now(now, &peer.sent_context.borrow(), zone_load.total_ratio),
                 // What others send can't be told from what this router does.
                 false => told.work,
             }
         }
         None => {
             let own = f64::from(peer.running.get());
-            let running = ((own + own.sqrt() + 1.0) * crowd.ratio).min(crowd.running);
+            let running = ((own + own.sqrt() + 1.0) * zone_load.total_ratio).min(zone_load.running);
             let layers = f64::from(peer.span(now).len());
             running * model.usual * model.shape.token_bytes * layers
         }
@@ -362,13 +368,13 @@
 
 /// Part of a server's memory for requests that is taken, if it has told lately.
 pub fn reported_fill(peer: &Peer, now: Duration) -> Option<f64> {
-    peer.filled.get().filter(|(_, at)| now < *at + FILLED).map(|(part, _)| part)
+    peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY).map(|(part, _)| part)
 }
 
 /// Cost of beginning a request that takes `whole` milliseconds at a server, as far as it told of its slots.
-fn begin_ms(peer: &Peer, now: Duration, whole: f64) -> f64 {
-    let told = peer.reported_load.get().filter(|(_, at)| now < *at + TOLD);
-    told.map_or(0.0, |(running, _)| slots::begin_ms(running, peer.server().slots, whole))
+fn begin_ms(peer: &Peer, now: Duration, total_ms: f64) -> f64 {
+    let told = peer.reported_load.get().filter(|(_, at)| now < *at + LOAD_VALIDITY);
+    told.map_or(0.0, |(running, _)| slots::begin_ms(running, peer.server().slots, total_ms))
 }
 
 /// A number for the name of a data centre; equal names have equal numbers.
--- a/crates/gateway/src/route/crossing.rs
+++ b/crates/gateway/src/route/crossing.rs
@@ -4,11 +4,11 @@
 
 use layers::server::Zone;
 
-use super::load::LINK_FULL;
+use super::load::MAX_LINK_WAIT;
 
 /// Largest random part of the cost of a link for a path that is mended, as a part of the whole time of a request. All routers
 /// mend paths at the same moment; all of them would take the link to the fastest copy, which may be slower than they know.
-const SPREAD: f64 = 0.35;
+const MAX_SPREAD_COST: f64 = 0.35;
 
 /// What a path may ask of the links between data centres.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -24,11 +24,12 @@
     pub const NONE: Crossing = Crossing { max_transfer_ms: 0.0, max_wait: Duration::ZERO };
 
     /// Any transfer, while few wait.
-    pub const DEFAULT: Crossing = Crossing { max_transfer_ms: f64::INFINITY, max_wait: LINK_FULL };
+    pub const DEFAULT: Crossing =
+        Crossing { max_transfer_ms: f64::INFINITY, max_wait: MAX_LINK_WAIT };
 
     /// For a stream whose path is mended at once. All streams that passed through a dead server are mended at the same
     /// moment; some sixty of them would wait a second for a link on which each takes longer.
-    pub const IMMEDIATE: Crossing = Crossing { max_transfer_ms: 20.0, max_wait: LINK_FULL };
+    pub const IMMEDIATE: Crossing = Crossing { max_transfer_ms: 20.0, max_wait: MAX_LINK_WAIT };
 
     /// For a stream that has no other way. Its caller leaves after two seconds without an event, and some of them have
     /// passed.
@@ -37,9 +38,9 @@
 }
 
 /// Random part of the cost of a link, the same as long as `luck` is.
-pub(super) fn spread(luck: u64, (from, to): (Zone, Zone)) -> f64 {
+pub(super) fn spread(random: u64, (from, to): (Zone, Zone)) -> f64 {
     let ends = [from.to_le_bytes(), to.to_le_bytes()].concat();
     let part =
-        (xxhash_rust::xxh3::xxh3_64_with_seed(&ends, luck) >> 11) as f64 / (1u64 << 53) as f64;
-    SPREAD * part
+        (xxhash_rust::xxh3::xxh3_64_with_seed(&ends, random) >> 11) as f64 / (1u64 << 53) as f64;
+    MAX_SPREAD_COST * part
 }
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -7,8 +7,8 @@
 use layers::server::Zone;
 use policy::meter::Meter;
 
-use super::load::{Crowd, LINK, LINK_FULL, READING_FULL, crowds};
-use super::{Known, begin_ms, holder, zone};
+use super::load::{MAX_LINK_UTILIZATION, MAX_LINK_WAIT, MAX_PREFILL_WAIT, ZoneLoad, zone_loads};
+use super::{Snapshot, begin_ms, holder, zone};
 use crate::peer::Peer;
 use crate::request::Tokens;
 use crate::settings::Model;
@@ -21,18 +21,18 @@
     service: &str,
     model: &Model,
     tokens: Tokens,
-    but: &[String],
+    excluded: &[String],
 ) -> String {
     let now = state.now();
     let peers = state.of(service);
-    let crowds = crowds(&peers, now, state.routers());
+    let zone_loads = zone_loads(&peers, now, state.routers());
     let (mut silent, mut declined, mut reading, mut scarce) = (0, 0, 0, 0);
     let mut zones: Vec<DataCentre> = Vec::new();
-    let known = |crowd| Known { now, crowd, lasting: state.lasting.get() };
+    let snapshot = |zone_load| Snapshot { now, zone_load, lasting: state.lasting.get() };
     for (i, peer) in peers.iter().enumerate() {
         let zone = zone(&peer.server().zone);
-        let crowd = crowds.iter().find(|c| c.zone == zone).copied();
-        let crowd = crowd.unwrap_or(Crowd::unknown(zone, state.routers()));
+        let zone_load = zone_loads.iter().find(|c| c.zone == zone).copied();
+        let zone_load = zone_load.unwrap_or(ZoneLoad::unknown(zone, state.routers()));
         let at = zones.iter().position(|z| z.zone == zone).unwrap_or_else(|| {
             let held = vec![false; model.shape.layers as usize];
             zones.push(DataCentre { zone, name: peer.server().zone.clone(), held, begins: 0 });
@@ -40,11 +40,21 @@
         });
         match () {
             () if !peer.usable(now) => silent += 1,
-            () if !peer.accepts_requests(now) || but.contains(&peer.server().id) => declined += 1,
-            () if !peer.prefill_backlog.get().takes(now, 1.0, crowd.others, READING_FULL) => {
+            () if !peer.accepts_requests(now) || excluded.contains(&peer.server().id) => {
+                declined += 1
+            }
+            () if !peer.prefill_backlog.get().takes(
+                now,
+                1.0,
+                zone_load.zone_ratio,
+                MAX_PREFILL_WAIT,
+            ) =>
+            {
                 reading += 1
             }
-            () if holder(peer, i, model, tokens, false, known(crowd)).is_none() => scarce += 1,
+            () if holder(peer, i, model, tokens, false, snapshot(zone_load)).is_none() => {
+                scarce += 1
+            }
             () => {
                 let span = peer.span(now);
                 let begins = begin_ms(peer, now, 1.0).is_finite();
@@ -56,20 +66,20 @@
     }
     let views = zones.iter().map(DataCentre::to_string).collect::<Vec<_>>().join(" ");
     let links = state.links.borrow();
-    let others = |from: Zone| {
-        let found = crowds.binary_search_by_key(&from, |c| c.zone);
-        found.map_or(Crowd::unknown(from, state.routers()), |at| crowds[at]).others
+    let zone_ratio = |from: Zone| {
+        let found = zone_loads.binary_search_by_key(&from, |c| c.zone);
+        found.map_or(ZoneLoad::unknown(from, state.routers()), |at| zone_loads[at]).zone_ratio
     };
     let full = |((from, _), link): &&((Zone, Zone), Meter)| {
-        !link.takes(now, LINK, others(*from), LINK_FULL)
+        !link.takes(now, MAX_LINK_UTILIZATION, zone_ratio(*from), MAX_LINK_WAIT)
     };
     let full = links.iter().filter(full).count();
     format!(
         "servers={} silent={silent} declined={declined} reading={reading} memory={scarce} links_full={full} {views} crowds=[{}]",
         peers.len(),
-        crowds
+        zone_loads
             .iter()
-            .map(|c| format!("{:.0}/{:.1}", c.running, c.others))
+            .map(|c| format!("{:.0}/{:.1}", c.running, c.zone_ratio))
             .collect::<Vec<_>>()
             .join(" ")
     )
@@ -92,7 +102,7 @@
 
 /// What is left of one data centre's servers for a request.
 #[derive(Display)]
-#[display("{name}:lacks={},begins={begins}", lacks(held))]
+#[display("{name}:lacks={},begins={begins}", missing_layers(held))]
 struct DataCentre {
     zone: Zone,
     name: String,
@@ -102,7 +112,7 @@
 }
 
 /// Layers that are not held, as spans.
-fn lacks(held: &[bool]) -> String {
+fn missing_layers(held: &[bool]) -> String {
     let spans = Span::gaps(held).iter().map(Span::to_string).collect::<Vec<_>>();
     spans.join("+")
 }
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -16,71 +16,77 @@
 
 /// Part of a link between data centres that is used for prompts. The rest is for tokens, for copies
 /// of layers, and for routers that count each other late.
-pub(super) const LINK: f64 = 0.7;
+pub(super) const MAX_LINK_UTILIZATION: f64 = 0.7;
 
 /// Transfers that wait for a link up to which more are sent over it. Half of the usual goal for
 /// the first event is then left.
-pub(super) const LINK_FULL: Duration = Duration::from_millis(250);
+pub(super) const MAX_LINK_WAIT: Duration = Duration::from_millis(250);
 
 /// Prompts that wait to be read at a server up to which it gets more.
-pub(super) const READING_FULL: Duration = Duration::from_millis(300);
+pub(super) const MAX_PREFILL_WAIT: Duration = Duration::from_millis(300);
 
 /// How long what a server tells of its load is used.
-pub(super) const TOLD: Duration = Duration::from_millis(1500);
+pub(super) const LOAD_VALIDITY: Duration = Duration::from_millis(1500);
 
 /// How long it is used how full a server's memory was. It is asked each second; after some that were missed,
 /// a guess is better.
-pub(super) const FILLED: Duration = Duration::from_millis(3000);
+pub(super) const FILL_VALIDITY: Duration = Duration::from_millis(3000);
 
 /// Requests that run through one data centre's copy.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Crowd {
+pub(super) struct ZoneLoad {
     pub(super) zone: Zone,
     /// Requests of all routers, as its first servers tell.
     pub(super) running: f64,
     /// Requests of this router.
     pub(super) own: f64,
     /// Requests of all routers for each of this router's, over all data centres, at least one.
-    pub(super) ratio: f64,
+    pub(super) total_ratio: f64,
     /// Requests of all routers for each of this router's, at least one.
-    pub(super) others: f64,
+    pub(super) zone_ratio: f64,
 }
 
-impl Crowd {
+impl ZoneLoad {
     /// Nothing is told: each router is taken to send as much as this one.
-    pub(super) fn unknown(zone: Zone, routers: u32) -> Crowd {
-        let others = f64::from(routers).sqrt();
-        Crowd { zone, running: 0.0, own: 0.0, ratio: others, others }
+    pub(super) fn unknown(zone: Zone, routers: u32) -> ZoneLoad {
+        let zone_ratio = f64::from(routers).sqrt();
+        ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: zone_ratio, zone_ratio }
     }
 }
 
 /// Requests of all routers that run through each data centre's copy, as their first servers tell.
 /// A router sees only its own; when copies are lost, the others' requests crowd into the copies
 /// that are left, and none of the routers would notice that their memory is full.
-pub(super) fn crowds(peers: &[Rc<Peer>], now: Duration, routers: u32) -> Vec<Crowd> {
-    let mut crowds: Vec<Crowd> = Vec::new();
+pub(super) fn zone_loads(peers: &[Rc<Peer>], now: Duration, routers: u32) -> Vec<ZoneLoad> {
+    let mut zone_loads: Vec<ZoneLoad> = Vec::new();
     for peer in peers {
-        let Some((running, _)) = peer.reported_load.get().filter(|(_, at)| now < *at + TOLD) else {
+        let Some((running, _)) =
+            peer.reported_load.get().filter(|(_, at)| now < *at + LOAD_VALIDITY)
+        else {
             continue;
         };
         let zone = zone(&peer.server().zone);
-        let at = match crowds.binary_search_by_key(&zone, |c| c.zone) {
+        let at = match zone_loads.binary_search_by_key(&zone, |c| c.zone) {
             Ok(at) => at,
             Err(at) => {
-                crowds.insert(at, Crowd { zone, running: 0.0, own: 0.0, ratio: 1.0, others: 1.0 });
+                zone_loads.insert(
+                    at,
+                    ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: 1.0, zone_ratio: 1.0 },
+                );
                 at
             }
         };
-        crowds[at].running += f64::from(running);
-        crowds[at].own += f64::from(peer.running.get());
+        zone_loads[at].running += f64::from(running);
+        zone_loads[at].own += f64::from(peer.running.get());
     }
-    let all = crowds.iter().fold((0.0, 0.0), |all, c| (all.0 + c.running, all.1 + c.own));
-    for crowd in &mut crowds {
-        crowd.ratio = (all.0 / f64::max(all.1, 1.0)).clamp(1.0, f64::from(routers.max(1)));
-        let ratio = crowd.running / crowd.own.max(1.0);
-        crowd.others = ratio.clamp(1.0, f64::from(routers.max(1)));
+    let all = zone_loads.iter().fold((0.0, 0.0), |all, c| (all.0 + c.running, all.1 + c.own));
+    for zone_load in &mut zone_loads {
+        zone_load.total_ratio =
+            (all.0 / f64::max(all.1, 1.0)).clamp(1.0, f64::from(routers.max(1)));
+        let ratio = zone_load.running / zone_load.own.max(1.0);
+        zone_load.zone_ratio = ratio.clamp(1.0, f64::from(routers.max(1)));
     }
-    crowds
+    zone_loads
 }
 
 pub(super) fn millis(time: Duration) -> f64 {
@@ -88,7 +94,7 @@
 }
 
 /// The meter of the link between two data centres.
-pub(super) fn link(state: &State, from: Zone, to: Zone) -> Meter {
+pub(super) fn link_meter(state: &State, from: Zone, to: Zone) -> Meter {
     let links = state.links.borrow();
     let found = links.binary_search_by_key(&(from, to), |(ends, _)| *ends);
     found.map_or(Meter::default(), |at| links[at].1)
@@ -97,7 +103,7 @@
 /// Work that a request brings to a server or a link, for its meter.
 #[derive(Debug)]
 pub(super) struct Charge {
-    at: Place,
+    at: Target,
     /// How long the work takes.
     work: Duration,
     /// Part of the worker's time that is this router's.
@@ -106,7 +112,7 @@
 
 /// Where work is done.
 #[derive(Debug)]
-enum Place {
+enum Target {
     Server(Rc<Peer>),
     Link((Zone, Zone)),
 }
@@ -114,7 +120,7 @@
 impl Charge {
     /// Prompts that cross a link between data centres.
     pub(super) fn link(ends: (Zone, Zone), ms: f64, share: f64) -> Charge {
-        Charge { at: Place::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
+        Charge { at: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
     }
 
     /// A prompt that a server reads through some layers; none if its card is not known.
@@ -123,18 +129,18 @@
         model: &Model,
         tokens: Tokens,
         span: Span,
-        crowd: Crowd,
+        zone_load: ZoneLoad,
     ) -> Option<Charge> {
         let entry = peer.server();
         let card = entry.card.as_deref().and_then(|name| model.card(name))?;
         let ms = model.shape.reading_ms(&card, span.len(), peer.slowdown.get(), tokens.prompt);
         let work = Duration::from_secs_f64(ms / 1e3);
-        Some(Charge { at: Place::Server(peer.clone()), work, share: 1.0 / crowd.others })
+        Some(Charge { at: Target::Server(peer.clone()), work, share: 1.0 / zone_load.zone_ratio })
     }
 
     /// Whether a new request may bring this work to a link.
-    pub(super) fn allows(&self, state: &State, luck: f64, wants: bool) -> bool {
-        let Place::Link(ends) = self.at else { return true };
+    pub(super) fn allows(&self, state: &State, random: f64, wants: bool) -> bool {
+        let Target::Link(ends) = self.at else { return true };
         let now = state.now();
         let mut crossings = state.crossings.borrow_mut();
         let at = match crossings.binary_search_by_key(&ends, |(ends, _)| *ends) {
@@ -147,18 +153,18 @@
         if wants {
             crossings[at].1.note(now);
         }
-        luck < crossings[at].1.share(now, self.work, LINK, state.routers())
+        random < crossings[at].1.share(now, self.work, MAX_LINK_UTILIZATION, state.routers())
     }
 
     pub(super) fn apply(self, state: &State) {
         let now = state.now();
         match self.at {
-            Place::Server(peer) => {
+            Target::Server(peer) => {
                 let mut reading = peer.prefill_backlog.get();
                 reading.add(now, self.work, self.share);
                 peer.prefill_backlog.set(reading);
             }
-            Place::Link(ends) => {
+            Target::Link(ends) => {
                 let mut links = state.links.borrow_mut();
                 let at = match links.binary_search_by_key(&ends, |(ends, _)| *ends) {
                     Ok(at) => at,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,5 +1,5 @@
-//! Requests to a model: a stream of events from a path of servers, gone on with on another path
-//! when a server of the first one dies.
+//! Requests to a model: relays a stream of events from a path of servers to the caller, and resumes it on another
+//! path when a server of the first one dies.
 
 mod open;
 mod run;
@@ -33,112 +33,111 @@
 use open::Opened;
 use run::Run;
 
-/// Multiple of a stream's usual pause after which the servers of its path are asked whether they
-/// live. With the time to ask and to read the prompt elsewhere, the next event then still comes on
-/// time or shortly after it.
-const SILENCE: f64 = 2.5;
+/// Multiple of a stream's mean pause after which the servers of its path are probed. With the time for the probe
+/// and for the prefill on another path, the next event is then still on time or only slightly late.
+const SILENCE_FACTOR: f64 = 2.5;
 
-/// Usual pause that is assumed before the first ones were measured.
-const PAUSE: Duration = Duration::from_millis(30);
+/// Mean pause that is assumed before the first pauses have been measured.
+const INITIAL_PAUSE: Duration = Duration::from_millis(30);
 
-/// Weight of the newest pause in the mean.
-const NEWEST: f64 = 0.2;
+/// Weight of the newest pause in the moving average.
+const NEWEST_PAUSE_WEIGHT: f64 = 0.2;
 
-/// Shortest silence that is looked into: a pass over a full batch takes some 30 ms on the slowest
-/// cards.
-const SHORTEST: Duration = Duration::from_millis(55);
+/// Shortest silence after which a path is probed: a pass over a full batch takes some 30 ms on the slowest
+/// accelerators.
+const MIN_SILENCE: Duration = Duration::from_millis(55);
 
-/// Silence after which another path is tried even though all servers of this one answer.
-/// Callers leave after two seconds without an event; half of it is left for the new path.
-const STUCK: Duration = Duration::from_millis(1000);
+/// Silence after which another path is tried even though all servers of this one answer probes.
+/// Callers leave after two seconds without an event; half of that time is left for the new path.
+const MAX_SILENCE: Duration = Duration::from_millis(1000);
 
-/// Pause between two looks at a silent path. What a server reports is some hundred milliseconds old.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval between two checks of a silent path. The reports of servers are some hundred milliseconds old.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Part of a server's memory from which on it may decline a request for want of memory.
-const NEARLY_FULL: f64 = 0.85;
+/// Fraction of a server's memory in use above which it may decline a request for lack of memory.
+const NEARLY_FULL_FRACTION: f64 = 0.85;
 
-/// Events on their way to one caller. A caller that does not read holds up its own stream only.
-const AHEAD: usize = 64;
+/// Events queued for one caller. A caller that does not read blocks only its own stream.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// What an event waits for that comes in the usual way.
-const STEPS: &str = "steps";
+/// Cause of the pause before an event that no failure delayed.
+const CAUSE_STEPS: &str = "steps";
 
-/// What the stream of one request has come to.
+/// Progress of one request and its stream.
 struct Progress<'a> {
     state: &'a Rc<State>,
     call: &'a Call,
     service: &'a str,
     model: &'a Model,
-    /// Servers that are not asked again.
-    but: Vec<String>,
-    /// Paths asked.
+    /// Servers at which no further path may begin, or that declined the request.
+    excluded: Vec<String>,
+    /// Paths that the request was sent along.
     tries: u32,
-    /// Runs of it that may have begun.
+    /// Runs of the request that may have begun.
     runs: Vec<Run>,
-    /// Ends when it is known whether the last server that broke off has ended.
-    looked: Option<JoinHandle<()>>,
-    /// Paths that it was sent along and whose servers did not say that they won't run it.
-    sent: u32,
-    /// What stood in the way when another path was last looked for.
+    /// Completes when it is known whether the server of the last broken run has ended.
+    end_check: Option<JoinHandle<()>>,
+    /// Paths that the request was sent along and whose servers did not decline it.
+    unrefused: u32,
+    /// Why the last search for another path failed.
     obstacle: Option<Obstacle>,
-    /// Why its path could not be mended when that was last tried.
-    unmended: Option<Unmended>,
-    /// Whether a path is kept that may still send events, so that another one is only looked for beside it.
-    kept: bool,
-    /// Last event that was handed on.
-    last: Option<Id>,
-    /// When it was handed on.
-    passed: Instant,
-    /// What happened since then that may have held the next event up.
+    /// Why the last attempt to repath the stream failed.
+    repath_failure: Option<RepathFailure>,
+    /// Whether the current path is kept because it may still send events while another one is tried in parallel.
+    path_kept: bool,
+    /// Last event that was forwarded to the caller.
+    last_event: Option<Id>,
+    /// When that event was forwarded.
+    forwarded_at: Instant,
+    /// What has happened since then that may delay the next event; a label of the metrics.
     held_up: &'static str,
-    /// A random number below one, by which requests are chosen that may cross a link between data centres.
-    luck: f64,
-    /// Whether it is counted among those that want to.
-    wants_link: Cell<bool>,
+    /// Random number below one that decides whether the request may cross a link between data centres.
+    random: f64,
+    /// Whether the request has been counted in the demand for such a link.
+    counted_for_link: Cell<bool>,
 }
 
-/// Why a request can't go on along another path.
+/// Why a request can't be continued on another path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 enum Obstacle {
     #[display("no path: {_0}")]
     Path(Reason),
     #[display("the retry budget is used up")]
     Budget,
-    #[display("it ran as often as its route allows")]
+    #[display("all attempts of its route are used up")]
     Attempts,
-    #[display("servers ended under it")]
+    #[display("backend servers ended while they ran it")]
     Crashes,
 }
 
-/// Why the path of a silent stream was not mended.
+/// Why a silent stream was not moved to another path from the same first server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
-enum Unmended {
-    #[display("its first server is silent")]
+enum RepathFailure {
+    #[display("the first server of its path is suspected")]
     FirstSilent,
-    #[display("no path behind its first server")]
+    #[display("no other path from its first server")]
     NoPath,
-    #[display("its first server declined")]
+    #[display("its first server did not accept the order")]
     Declined,
 }
 
-/// A path that is sending events.
+/// A path along which a stream arrives.
 struct Source {
     path: Path,
     answer: Box<Answer>,
     splitter: Splitter,
-    began: Instant,
-    /// Mean pause between two events.
+    started: Instant,
+    /// Moving average of the pause between two events.
     pause: Duration,
-    /// When bytes last came along it, or since when they are waited for.
+    /// When bytes were last received, or when waiting for them began.
     since: Instant,
-    /// Whether the connection to its first server broke.
-    broken: bool,
+    /// Whether the connection to the first server broke.
+    disconnected: bool,
 }
 
 impl Source {
-    /// The next event, which has to follow after `last`, until the caller's time is up. May be dropped at any
-    /// moment without loss.
+    /// Returns the next event, which must follow `last`; waits until the deadline `until` at most. Cancel-safe: no
+    /// bytes are lost if the future is dropped.
     async fn event(&mut self, last: Option<Id>, until: Instant) -> Next {
         loop {
             match self.splitter.next() {
@@ -151,41 +150,42 @@
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
                         self.splitter.push(data);
-                        self.measure();
+                        self.record_pause();
                     }
                 }
                 Ok(Some(Err(_))) => {
-                    self.broken = true;
-                    return Next::Broken("the server broke off");
+                    self.disconnected = true;
+                    return Next::Broken("the connection to the first server broke");
                 }
                 Ok(None) if self.splitter.is_empty() => return Next::End,
-                Ok(None) => return Next::Broken("the stream ends in the middle of an event"),
+                Ok(None) => return Next::Broken("the stream ended in the middle of an event"),
                 Err(_) => return Next::Late,
             }
         }
     }
 
-    fn measure(&mut self) {
+    fn record_pause(&mut self) {
         let pause = self.since.elapsed();
-        self.pause = self.pause.mul_f64(1.0 - NEWEST) + pause.mul_f64(NEWEST);
+        self.pause =
+            self.pause.mul_f64(1.0 - NEWEST_PAUSE_WEIGHT) + pause.mul_f64(NEWEST_PAUSE_WEIGHT);
         self.since = Instant::now();
     }
 }
 
-/// What came next on a path.
+/// Next item of a stream.
 enum Next {
     Event(Event),
     /// The stream is complete.
     End,
-    /// The path sends nothing, but may live.
+    /// No event for too long, but the servers may still be alive.
     Silent(&'static str),
-    /// The path is broken and sends nothing more.
+    /// The stream is broken and will send no more events.
     Broken(&'static str),
-    /// The caller's or the route's time is up.
+    /// The deadline of the caller or the route has passed.
     Late,
 }
 
-/// Serves one request.
+/// Serves one request to a model.
 pub async fn serve(
     state: &Rc<State>,
     call: Rc<Call>,
@@ -197,19 +197,19 @@
         call: &call,
         service,
         model,
-        but: Vec::new(),
+        excluded: Vec::new(),
         tries: 0,
         runs: Vec::new(),
-        looked: None,
-        sent: 0,
+        end_check: None,
+        unrefused: 0,
         obstacle: None,
-        unmended: None,
-        kept: false,
-        last: None,
-        passed: Instant::now(),
+        repath_failure: None,
+        path_kept: false,
+        last_event: None,
+        forwarded_at: Instant::now(),
         held_up: "start",
-        luck: rand::random(),
-        wants_link: Cell::new(false),
+        random: rand::random(),
+        counted_for_link: Cell::new(false),
     };
     let (mut source, first) = match progress.open().await {
         Ok(Opened::Stream(source, first)) => (source, first),
@@ -234,12 +234,12 @@
     state.shortage.borrow_mut().placed(state.now());
     state.missing.borrow_mut().ends();
     let mut head = std::mem::replace(&mut source.answer.head, Response::new(()));
-    // The connection's own fields decide later whether it is kept.
+    // The original header fields are needed later to decide whether the connection can be reused.
     source.answer.head.headers_mut().clone_from(head.headers());
     answer::strip(head.headers_mut());
-    let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, BodyError>>(AHEAD);
-    let (runs, sent) = (progress.runs, progress.sent);
-    let (but, tries) = (progress.but, progress.tries);
+    let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, BodyError>>(MAX_QUEUED_EVENTS);
+    let (runs, unrefused) = (progress.runs, progress.unrefused);
+    let (excluded, tries) = (progress.excluded, progress.tries);
     let (state, service, model) = (state.clone(), service.to_owned(), model.clone());
     let call = call.clone();
     tokio::task::spawn_local(async move {
@@ -248,26 +248,26 @@
             call: &call,
             service: &service,
             model: &model,
-            but,
+            excluded,
             tries,
             runs,
-            looked: None,
-            sent,
+            end_check: None,
+            unrefused,
             obstacle: None,
-            unmended: None,
-            kept: false,
-            last: None,
-            passed: Instant::now(),
-            held_up: STEPS,
-            luck: 0.0,
-            wants_link: Cell::new(true),
+            repath_failure: None,
+            path_kept: false,
+            last_event: None,
+            forwarded_at: Instant::now(),
+            held_up: CAUSE_STEPS,
+            random: 0.0,
+            counted_for_link: Cell::new(true),
         };
         relay(progress, source, first, sender).await;
     });
     head.map(|()| StreamBody::new(ReceiverStream::new(receiver).map(|f| f)).boxed_unsync())
 }
 
-/// Hands events on until the stream is complete, the caller leaves, or nothing can go on with it.
+/// Relays events until the stream is complete, the caller disconnects, or no path can resume the stream.
 async fn relay(
     mut progress: Progress<'_>,
     mut source: Source,
@@ -278,15 +278,15 @@
     loop {
         let why = match next {
             Next::Event(event) => {
-                progress.last = event.id.or(progress.last);
+                progress.last_event = event.id.or(progress.last_event);
                 source.path.record_event(progress.state.now());
-                progress.say_held_up(&source.path);
+                progress.log_delay(&source.path);
                 if sender.send(Ok(Frame::data(event.bytes))).await.is_err() {
-                    return progress.gone();
+                    return progress.log_caller_left();
                 }
                 next = tokio::select! {
-                    next = progress.next(&mut source) => next,
-                    () = sender.closed() => return progress.gone(),
+                    next = progress.next_event(&mut source) => next,
+                    () = sender.closed() => return progress.log_caller_left(),
                 };
                 continue;
             }
@@ -298,27 +298,27 @@
             }
             Next::Silent(why) => {
                 next = tokio::select! {
-                    next = progress.outlast(&mut source, why) => next,
-                    () = sender.closed() => return progress.gone(),
+                    next = progress.recover(&mut source, why) => next,
+                    () = sender.closed() => return progress.log_caller_left(),
                 };
                 continue;
             }
-            Next::Late => "time is up",
+            Next::Late => "deadline exceeded",
             Next::Broken(why) => why,
         };
         log::info!(
             "gateway: request={} path_broken={why} first={} last_event={:?} age={:?}",
             progress.call.id,
             source.path.first().server().id,
-            progress.last,
+            progress.last_event,
             progress.call.arrived.elapsed()
         );
         progress.held_up = "resumed";
-        progress.leave(&source);
+        progress.abandon(&source);
         drop(source);
         let opened = tokio::select! {
             opened = progress.resume() => opened,
-            () = sender.closed() => return progress.gone(),
+            () = sender.closed() => return progress.log_caller_left(),
         };
         match opened {
             Some((fresh, event)) => (source, next) = (fresh, Next::Event(event)),
@@ -327,10 +327,10 @@
                 log::warn!(
                     "gateway: request={} outcome=cut {}",
                     progress.call.id,
-                    progress.ending()
+                    progress.summary()
                 );
-                // Ends the caller's connection without the mark of a complete body.
-                let _ = sender.send(Err("the stream broke off".into())).await;
+                // Closes the caller's connection without the terminating chunk of a complete body.
+                let _ = sender.send(Err("no path can resume the stream".into())).await;
                 return;
             }
         }
@@ -338,53 +338,53 @@
 }
 
 impl Progress<'_> {
-    fn gone(&self) {
+    fn log_caller_left(&self) {
         self.state.metrics.left();
-        log::info!("gateway: request={} outcome=left {}", self.call.id, self.ending());
+        log::info!("gateway: request={} outcome=left {}", self.call.id, self.summary());
     }
 
-    /// How far a stream has come that ends early, and what it waited for, for the log.
-    fn ending(&self) -> String {
+    /// Describes for the log how far a stream got that ended early and what delayed it.
+    fn summary(&self) -> String {
         format!(
             "last_event={:?} pause={:?} held_up={} tries={} ran={} broken={} obstacle={} unmended={} age={:?}",
-            self.last,
-            self.passed.elapsed(),
+            self.last_event,
+            self.forwarded_at.elapsed(),
             self.held_up,
             self.tries,
             self.runs.len(),
-            self.runs.iter().filter(|run| run.broken.is_some()).count(),
+            self.runs.iter().filter(|run| run.broken_at.is_some()).count(),
             self.obstacle.map_or_else(|| "none".to_owned(), |o| o.to_string()),
-            self.unmended.map_or_else(|| "none".to_owned(), |u| u.to_string()),
+            self.repath_failure.map_or_else(|| "none".to_owned(), |u| u.to_string()),
             self.call.arrived.elapsed()
         )
     }
 
-    /// Begins no other path at the first server of this one, which is given up.
-    fn leave(&mut self, source: &Source) {
+    /// Excludes the first server of an abandoned path, and records a broken run if its connection broke.
+    fn abandon(&mut self, source: &Source) {
         let first = source.path.first();
-        self.avoid(first);
-        if source.broken {
-            self.note_broken(first);
+        self.exclude(first);
+        if source.disconnected {
+            self.record_broken_run(first);
         }
     }
 
-    /// Begins no other path at this server.
-    fn avoid(&mut self, first: &Peer) {
+    /// Excludes a server from further paths of this request.
+    fn exclude(&mut self, first: &Peer) {
         let id = first.server().id.clone();
-        if !self.but.contains(&id) {
-            self.but.push(id);
+        if !self.excluded.contains(&id) {
+            self.excluded.push(id);
         }
     }
 
-    /// Says of an event that comes late, or first on another path, what held it up.
-    fn say_held_up(&mut self, path: &Path) {
-        let pause = self.passed.elapsed();
+    /// Logs what delayed an event that is late or the first one on another path.
+    fn log_delay(&mut self, path: &Path) {
+        let pause = self.forwarded_at.elapsed();
         let late = pause > self.call.route.gap;
-        if late || self.held_up != STEPS {
+        if late || self.held_up != CAUSE_STEPS {
             log::info!(
                 "gateway: request={} event={:?} late={late} pause={pause:?} why={} first={} path_length={}",
                 self.call.id,
-                self.last,
+                self.last_event,
                 self.held_up,
                 path.first().server().id,
                 path.hops.len()
@@ -393,18 +393,18 @@
         if late {
             self.state.metrics.late_event(self.held_up);
         }
-        (self.passed, self.held_up) = (Instant::now(), STEPS);
-        (self.obstacle, self.unmended) = (None, None);
+        (self.forwarded_at, self.held_up) = (Instant::now(), CAUSE_STEPS);
+        (self.obstacle, self.repath_failure) = (None, None);
     }
 }
 
-/// Passes over a server that declined a request, and tells the other routers. Not if its memory was nearly full a moment
-/// ago: it may have room again by the time they hear of it.
-fn note_declined(state: &State, peer: &Peer) {
+/// Avoids a server that declined a request for a while, and notifies the other routers. They are not notified if its
+/// last known memory use was nearly full: it may have room again by the time they receive the notice.
+fn record_decline(state: &State, peer: &Peer) {
     let now = state.now();
     let known = peer.declines.borrow().holds(now);
     peer.declines.borrow_mut().fail(now);
-    let full = route::reported_fill(peer, now).is_some_and(|part| part > NEARLY_FULL);
+    let full = route::reported_fill(peer, now).is_some_and(|part| part > NEARLY_FULL_FRACTION);
     if !known && !full {
         state.announce(Notice::Declines { server: peer.server().id.clone() });
     }
--- a/crates/gateway/src/stream/run.rs
+++ b/crates/gateway/src/stream/run.rs
@@ -1,4 +1,4 @@
-//! Runs of a request that may have begun, and whether it may have another one.
+//! Runs of a request that may have begun, and whether the request may run again.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,22 +11,23 @@
 use crate::probe;
 use crate::state::State;
 
-/// A run of a request, which may have begun.
+/// A run of a request that may have begun.
 pub(super) struct Run {
     first: Rc<Peer>,
-    /// When that server had started.
+    /// Start time of the first server when the request was sent.
     born: u64,
-    /// When the connection to it broke.
-    pub(super) broken: Option<Duration>,
+    /// When the connection to that server broke.
+    pub(super) broken_at: Option<Duration>,
 }
 
 impl Run {
-    /// Whether the server has ended. One that only broke its connection, or that answers again, may still be at work.
+    /// Whether the server has ended. One that only broke its connection, or that answers again, may still be running
+    /// the request.
     async fn has_ended(&self, state: &State) -> bool {
         let born = self.first.server().born;
-        // Not every server says when it started.
+        // Not every server reports its start time.
         let started_again = born != self.born && born != 0 && self.born != 0;
-        match self.broken {
+        match self.broken_at {
             _ if started_again => true,
             Some(at) => probe::has_ended(state, &self.first, self.born, at).await,
             None if self.first.suspicion.borrow().holds(state.now()) => {
@@ -38,38 +39,41 @@
 }
 
 impl Progress<'_> {
-    /// Whether something that may have run may run on another path. Runs on servers that have ended do not count.
+    /// Whether the request may run on another path. Runs on servers that have ended do not count as attempts.
     pub(super) async fn may_run_again(&self) -> bool {
         let attempts = self.call.route.attempts as usize;
         match self.call.route.class.repeatable() {
-            true if self.runs.len() >= attempts => self.runs.len() - self.ended().await < attempts,
+            true if self.runs.len() >= attempts => {
+                self.runs.len() - self.count_ended().await < attempts
+            }
             repeatable => repeatable,
         }
     }
 
-    /// How many runs were on servers that have ended.
-    async fn ended(&self) -> usize {
+    /// Counts the runs on servers that have ended.
+    async fn count_ended(&self) -> usize {
         let asked = self.runs.iter().map(|run| run.has_ended(self.state));
         join_all(asked).await.into_iter().filter(|ended| *ended).count()
     }
 
-    /// Counts a run, before it is sent: what sends it may be dropped at any moment, and it may have begun by then.
-    pub(super) fn note_run(&mut self, first: &Rc<Peer>) {
+    /// Records a run before the request is sent: the sending future may be dropped at any moment, and the run may have
+    /// begun by then.
+    pub(super) fn record_run(&mut self, first: &Rc<Peer>) {
         let (first, born) = (first.clone(), first.server().born);
-        self.runs.push(Run { first, born, broken: None });
+        self.runs.push(Run { first, born, broken_at: None });
     }
 
-    /// Forgets a run that never began.
-    pub(super) fn forget_run(&mut self, first: &Rc<Peer>) {
+    /// Removes a run that never began.
+    pub(super) fn remove_run(&mut self, first: &Rc<Peer>) {
         let at = self.runs.iter().rposition(|run| Rc::ptr_eq(&run.first, first));
         at.map(|at| self.runs.remove(at));
     }
 
-    /// Notes that a connection broke over which the request may have run.
-    pub(super) fn note_broken(&mut self, first: &Rc<Peer>) {
-        let events = self.last.map_or(0, |last| last + 1);
-        self.looked = Some(crash::note_broken(self.state, self.call, first, events));
+    /// Records that the connection broke over which the request may have run.
+    pub(super) fn record_broken_run(&mut self, first: &Rc<Peer>) {
+        let events = self.last_event.map_or(0, |last| last + 1);
+        self.end_check = Some(crash::note_broken(self.state, self.call, first, events));
         let run = self.runs.iter_mut().rfind(|run| Rc::ptr_eq(&run.first, first));
-        run.into_iter().for_each(|run| run.broken = Some(self.state.now()));
+        run.into_iter().for_each(|run| run.broken_at = Some(self.state.now()));
     }
 }
--- a/crates/gateway/src/stream/watch.rs
+++ b/crates/gateway/src/stream/watch.rs
@@ -1,38 +1,41 @@
-//! Watching a stream for silence, and mending its path.
+//! Detecting silent streams, and moving them to another path.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout_at};
 
-use super::open::Beside;
-use super::{LOOK, Next, Obstacle, Progress, SHORTEST, SILENCE, STUCK, Source, Unmended};
+use super::open::Race;
+use super::{
+    MAX_SILENCE, MIN_SILENCE, Next, Obstacle, Progress, RepathFailure, SILENCE_CHECK_INTERVAL,
+    SILENCE_FACTOR, Source,
+};
 use crate::probe;
 use crate::route::{self, Crossing, Path};
 
-/// Time the first server of a path gets to take an order for another path.
-const MEND: Duration = Duration::from_millis(150);
+/// Time-out for the first server of a path to accept a repath order.
+const REPATH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Why a path is taken for silent.
+/// Why a path is treated as silent.
 const NO_ANSWER: &str = "a server of the path does not answer";
 
-/// Multiple of a stream's usual pause after which an event that has not come will not come, once a server of
-/// the path is suspected. Streams through a dead server stop within a pause of each other, and the
-/// first to notice tells the others of the same router.
-const OVERDUE: f64 = 1.5;
+/// Multiple of a stream's mean pause after which its next event is treated as lost once a server of the path is
+/// suspected. Streams through a dead server stop within one pause of each other, and the first to detect it
+/// notifies the others of the same router.
+const OVERDUE_FACTOR: f64 = 1.5;
 
 impl Progress<'_> {
-    /// The next event of a path, or that it has been silent for too long.
-    pub(super) async fn next(&mut self, source: &mut Source) -> Next {
+    /// Waits for the next event of a path; returns [`Next::Silent`] if it has been silent for too long.
+    pub(super) async fn next_event(&mut self, source: &mut Source) -> Next {
         source.since = Instant::now();
-        let mut wait = source.pause.mul_f64(SILENCE).max(SHORTEST);
+        let mut wait = source.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
         loop {
-            let (last, until) = (self.last, self.call.deadline);
+            let (last, until) = (self.last_event, self.call.deadline);
             let due = source.since + wait;
             let came = tokio::select! {
                 came = timeout_at(due, source.event(last, until)) => came,
                 () = self.state.lost.notified() => {
-                    let overdue = source.pause.mul_f64(OVERDUE);
+                    let overdue = source.pause.mul_f64(OVERDUE_FACTOR);
                     match source.path.is_suspected(self.state.now()) {
                         true if source.since.elapsed() >= overdue => return Next::Silent(NO_ANSWER),
                         true => wait = wait.min(overdue),
@@ -43,14 +46,14 @@
             };
             match came {
                 Ok(next) => return next,
-                // A part of an event came meanwhile.
+                // Part of an event was received meanwhile.
                 Err(_) if source.since + wait > due => {
-                    wait = source.pause.mul_f64(SILENCE).max(SHORTEST);
+                    wait = source.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
                 }
-                Err(_) if wait >= STUCK => return Next::Silent("no event for too long"),
+                Err(_) if wait >= MAX_SILENCE => return Next::Silent("no event for too long"),
                 Err(_) => {
-                    wait += LOOK;
-                    if self.look_into(&source.path).await {
+                    wait += SILENCE_CHECK_INTERVAL;
+                    if self.check_path(&source.path).await {
                         return Next::Silent(NO_ANSWER);
                     }
                 }
@@ -58,50 +61,50 @@
         }
     }
 
-    /// Waits for the next event of a silent path, and meanwhile has the path mended or another one opened
-    /// beside it, whichever sends an event first.
-    pub(super) async fn outlast(&mut self, source: &mut Source, why: &'static str) -> Next {
+    /// Waits for the next event of a silent path, and meanwhile repaths the stream or opens another path in parallel;
+    /// takes whichever sends an event first.
+    pub(super) async fn recover(&mut self, source: &mut Source, why: &'static str) -> Next {
         log::info!(
             "gateway: request={} path_silent={why} first={} last_event={:?} pause={:?}",
             self.call.id,
             source.path.first().server().id,
-            self.last,
-            self.passed.elapsed()
+            self.last_event,
+            self.forwarded_at.elapsed()
         );
         self.held_up = "silent path";
-        self.avoid(source.path.first());
-        let mut look = Instant::now();
+        self.exclude(source.path.first());
+        let mut next_check = Instant::now();
         let mut crossing = Crossing::IMMEDIATE;
         loop {
-            if Instant::now() >= look {
-                look = Instant::now() + LOOK;
+            if Instant::now() >= next_check {
+                next_check = Instant::now() + SILENCE_CHECK_INTERVAL;
                 let lost = source.path.is_suspected(self.state.now());
-                let lost = lost || self.look_into(&source.path).await;
-                if lost && self.mend(&mut source.path, crossing).await {
-                    return self.next(source).await;
+                let lost = lost || self.check_path(&source.path).await;
+                if lost && self.repath(&mut source.path, crossing).await {
+                    return self.next_event(source).await;
                 }
                 crossing = Crossing::DEFAULT;
             }
-            let event = source.event(self.last, self.call.deadline);
-            match self.beside(event, |next| matches!(next, Next::Broken(_))).await {
-                Beside::Kept(next) => return next,
-                Beside::Other(fresh, event) => {
+            let event = source.event(self.last_event, self.call.deadline);
+            match self.race_other_path(event, |next| matches!(next, Next::Broken(_))).await {
+                Race::Kept(next) => return next,
+                Race::Other(fresh, event) => {
                     self.held_up = "resumed";
-                    self.leave(source);
+                    self.abandon(source);
                     *source = *fresh;
                     return Next::Event(event);
                 }
-                Beside::Neither => {}
+                Race::Neither => {}
             }
         }
     }
 
-    /// Asks all servers of a silent path whether they live, and the first one whom it waits for;
-    /// true if some server is found to be at fault.
+    /// Probes all servers of a silent path, and checks which server the first one reports to wait for; true if some
+    /// server is found to be at fault.
     ///
-    /// If none of several servers answers at the same moment, it is this router that stood still or is cut
-    /// off. Taking them all for dead would break live streams and leave no path to mend them with.
-    pub(super) async fn look_into(&mut self, path: &Path) -> bool {
+    /// If none of several servers answers at the same moment, this router itself stalled or is cut off. Treating all of
+    /// them as dead would break live streams and leave no path to move them to.
+    pub(super) async fn check_path(&mut self, path: &Path) -> bool {
         let (asked, dead) = probe::find_silent_on_path(self.state, &path.peers).await;
         if dead.len() > 1 && dead.len() == asked {
             log::info!("gateway: request={} silent=all servers={}", self.call.id, dead.len());
@@ -110,7 +113,7 @@
         for peer in &dead {
             self.suspect(peer, "no answer to a probe");
         }
-        // A server may answer us and yet not be reached by the one before it.
+        // A server may answer this router and still be unreachable from the server before it on the path.
         let stalled =
             path.first().stalled.borrow().iter().find(|s| s.request == self.call.id).cloned();
         let waited_for = stalled.and_then(|s| self.state.at(s.address));
@@ -121,40 +124,40 @@
         !dead.is_empty() || waited_for.is_some()
     }
 
-    /// Has the request go on along another path from the same first server, which keeps the stream.
-    /// Cheaper than a new run: only the new servers read the tokens so far, and the caller's pause
-    /// is shorter by that.
+    /// Orders the first server to continue the request along another path; the connection to it is kept. Cheaper than a
+    /// new run: only the new servers need a prefill of the tokens so far, which shortens the pause for the caller.
     ///
-    /// A stream that has no run left has this way only. It then waits longer for a link between data centres, and asks a
-    /// first server that is suspected as well: as far as it is not known to have ended, it may be at work.
-    pub(super) async fn mend(&mut self, path: &mut Path, crossing: Crossing) -> bool {
+    /// A stream with no attempts left can only be repathed. It then waits longer for a link between data centres, and
+    /// sends the order to a suspected first server as well: unless that is known to have ended, it may still be
+    /// running.
+    pub(super) async fn repath(&mut self, path: &mut Path, crossing: Crossing) -> bool {
         let last = self.obstacle == Some(Obstacle::Attempts);
         if !last && path.first().suspicion.borrow().holds(self.state.now()) {
-            self.unmended = Some(Unmended::FirstSilent);
+            self.repath_failure = Some(RepathFailure::FirstSilent);
             return false;
         }
         let crossing = if last { Crossing::LAST_RESORT } else { crossing };
         let size = self.call.tokens;
         let found = route::repath(self.state, self.service, self.model, size, path, crossing);
-        let Some(mut mended) = found else {
-            self.unmended = Some(Unmended::NoPath);
+        let Some(mut new_path) = found else {
+            self.repath_failure = Some(RepathFailure::NoPath);
             return false;
         };
-        mended.charge(self.state);
-        let ask = (self.state.codec.repath)(&self.call.id, &mended.hops);
-        let answer = probe::send(mended.first(), ask, MEND).await;
+        new_path.charge(self.state);
+        let ask = (self.state.codec.repath)(&self.call.id, &new_path.hops);
+        let answer = probe::send(new_path.first(), ask, REPATH_TIMEOUT).await;
         let done = answer.as_ref().is_ok_and(|(status, _)| status.is_success());
         log::info!(
             "gateway: request={} repath={done} first={} answer={:?} last_event={:?} path={}",
             self.call.id,
-            mended.first().server().id,
+            new_path.first().server().id,
             answer.map(|(status, _)| status),
-            self.last,
-            (self.state.codec.path)(&mended.hops)
+            self.last_event,
+            (self.state.codec.path)(&new_path.hops)
         );
         match done {
-            true => (*path, self.held_up) = (mended, "repath"),
-            false => self.unmended = Some(Unmended::Declined),
+            true => (*path, self.held_up) = (new_path, "repath"),
+            false => self.repath_failure = Some(RepathFailure::Declined),
         }
         done
     }
