--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -86,7 +86,7 @@
         Verdict::Clear | Verdict::Alone => return None,
     };
     state.crashes.refused.set(state.crashes.refused.get() + 1);
-    Some(answer::own_after(Reason::Crashes, Some(left)))
+    Some(answer::error_after(Reason::Crashes, Some(left)))
 }
 
 /// Waits until a request may be sent; a suspect runs beside no other suspect. Fails if the request is refused. One
@@ -120,10 +120,10 @@
     let (content, description) = (call.content, content::description(&state.codec.names, call));
     let (id, bytes, workspace) = (call.id.clone(), call.size(), call.workspace.clone());
     let (server, at) = (peer.server(), state.now());
-    let news = peer.note_broke(at);
+    let news = peer.record_break(at);
     let (state, peer) = (state.clone(), peer.clone());
     spawn_local(async move {
-        let ended = probe::refuses(&peer).await;
+        let ended = probe::refuses_connections(&peer).await;
         state.metrics.run_broken(ended);
         if let Line::Written(left_out) =
             state.broken_run_lines.borrow_mut().take(state.now(), MAX_LOSS_LINES_PER_S)
@@ -144,7 +144,7 @@
         if news {
             state.announce(Notice::Broke { server: server.id.clone() });
         }
-        if peer.broke_off(state.now()) {
+        if peer.count_break(state.now()) {
             log::warn!(
                 "gateway: server={} passed_over=true why=its runs keep breaking off",
                 server.id
@@ -167,7 +167,7 @@
 pub fn check_silent_server(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer, server) = (state.clone(), peer.clone(), peer.server());
     spawn_local(async move {
-        if probe::refuses(&peer).await {
+        if probe::refuses_connections(&peer).await {
             let start = Start { id: server.id.clone(), born: server.born };
             state.crashes.list.borrow_mut().record_end(start, state.now());
         }
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -331,7 +331,7 @@
             match (entry, state.peer(key)) {
                 (Some(entry), Some(peer)) => {
                     let known = peer.server();
-                    !entry.is_before(&known) && (peer.lapsed() || !entry.has_same_content(&known))
+                    !entry.is_before(&known) && (peer.is_expired() || !entry.has_same_content(&known))
                 }
                 _ => true,
             }
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -61,7 +61,7 @@
             span: order.unwrap_or(peer.span(now)),
             usable: card.is_some() && peer.ready() && (!reachable || !peer.counts_as_dead()),
             busy: order.is_some(),
-            slow: peer.slow.get() > MAX_SLOWDOWN,
+            slow: peer.slowdown.get() > MAX_SLOWDOWN,
         }
     };
     let servers: Vec<layers::Server> = peers.iter().map(server).collect();
@@ -69,7 +69,7 @@
     log_gaps(state, &gaps);
     let lasting = gap_duration(state, &gaps) > RESTART_TIME;
     let places = placement::plan(&servers, &model.shape, lasting);
-    let age = |server: Index| now.saturating_sub(peers[server].since());
+    let age = |server: Index| now.saturating_sub(peers[server].first_seen());
     let lost = |zone: Zone| recent_losses(state, peers, zone);
     let places = placement::defer_reserves(places, &servers, &model.shape, age, lost);
     let planned = |place: &Place| Planned {
--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -29,7 +29,9 @@
     let start = from % peers.len().max(1);
     peers.rotate_left(start);
     peers.truncate(MAX_CONCURRENT_PROBES);
-    let asked = peers.iter().map(|peer| async move { (probe::visit(state, peer).await, peer) });
+    let asked = peers
+        .iter()
+        .map(|peer| async move { (probe::fetch_report_pooled(state, peer).await, peer) });
     let mut filled = Vec::new();
     for (report, peer) in futures_util::future::join_all(asked).await {
         let server = peer.server().id.clone();
@@ -44,10 +46,10 @@
             peer.filled.set(Some((part, state.now())));
             filled.push((server.clone(), (part * 100.0).round() as u8));
         }
-        let (was, is) = (peer.slow.get(), report.pace.max(1.0));
+        let (was, is) = (peer.slowdown.get(), report.pace.max(1.0));
         if (is - was).abs() > MIN_PACE_CHANGE * was {
             log::info!("gateway: server={server} slow={is:.1} before={was:.1}");
-            peer.slow.set(is);
+            peer.slowdown.set(is);
             state.announce(Notice::Slow { server, percent: (is * 100.0) as u32 });
         }
     }
@@ -59,8 +61,8 @@
 /// Servers that are slow. A change is announced once, at once; a router that starts later learns of it from this list.
 fn slow_servers(state: &State) -> Vec<(Id, u32)> {
     let peers = state.peers();
-    let slow = peers.iter().filter(|p| p.slow.get() > 1.0 + MIN_PACE_CHANGE);
-    slow.map(|p| (p.server().id.clone(), (p.slow.get() * 100.0) as u32)).collect()
+    let slow = peers.iter().filter(|p| p.slowdown.get() > 1.0 + MIN_PACE_CHANGE);
+    slow.map(|p| (p.server().id.clone(), (p.slowdown.get() * 100.0) as u32)).collect()
 }
 
 /// Probes suspected servers again if many are suspected at once. A router that was slow for a moment suspects many live
@@ -72,7 +74,7 @@
         return;
     }
     for chunk in suspects.chunks(MAX_CONCURRENT_PROBES) {
-        let asked = chunk.iter().map(|p| probe::report(state, p, probe::soon(state)));
+        let asked = chunk.iter().map(|p| probe::fetch_report(state, p, probe::urgent_timeout(state)));
         let answers = futures_util::future::join_all(asked).await;
         let alive = answers.iter().filter(|answer| answer.is_ok()).count();
         if alive == 0 {
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -233,7 +233,7 @@
     let (now, routers) = (state.now(), state.routers());
     let peers = state.peers_of(service);
     let times = peers.iter().filter_map(|p| p.limited.retry_after(routers, now));
-    answer::own_after(Reason::Limited, times.min())
+    answer::error_after(Reason::Limited, times.min())
 }
 
 /// Spawns a task that requests permits from the owner of a server's ledger.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -21,21 +21,21 @@
 
 /// Time for a connection to be made. Round trips take a few milliseconds; a lost opening packet
 /// is sent again after a second, and another server answers sooner than that.
-const CONNECT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Time after which unacknowledged bytes end a connection. A server behind a cut would otherwise
 /// keep it for minutes.
-const UNACKNOWLEDGED: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Idle connections kept to one server. More are open at once only in a burst.
-const IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Longest time an idle connection is used again if its server says nothing of it. Servers close
 /// idle ones after a few seconds, and what is sent at that moment is reset.
-const REUSE: Duration = Duration::from_secs(3);
+const DEFAULT_REUSE_TIME: Duration = Duration::from_secs(3);
 
 /// Part of the time a server says it keeps an idle connection, in which it is used again.
-const KEEP_PART: f64 = 0.6;
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
 
 /// Why there is no connection.
 #[derive(Debug, Clone, Display, Error)]
@@ -62,12 +62,12 @@
 
 /// A connection that is in use by one request.
 #[derive(Debug)]
-pub struct Link {
+pub struct Connection {
     /// Sends the request.
     pub sender: SendRequest<Full<Bytes>>,
     task: Task,
     /// Whether it was used before.
-    pub used: bool,
+    pub reused: bool,
 }
 
 /// Ends the connection's task when dropped: the server sees the close at once and stops work
@@ -83,7 +83,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    link: Link,
+    link: Connection,
     until: Instant,
 }
 
@@ -103,7 +103,7 @@
     }
 
     /// An idle connection, if one may still be used.
-    pub fn idle(&self) -> Option<Link> {
+    pub fn idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         idle.retain(|i| i.until > now && i.link.sender.is_ready());
@@ -111,7 +111,7 @@
     }
 
     /// A connection: an idle one or a new one.
-    pub async fn take(&self) -> Result<Link, Fault> {
+    pub async fn take(&self) -> Result<Connection, Fault> {
         match self.idle() {
             Some(link) => Ok(link),
             None => self.connect().await,
@@ -119,9 +119,9 @@
     }
 
     /// A new connection.
-    pub async fn connect(&self) -> Result<Link, Fault> {
+    pub async fn connect(&self) -> Result<Connection, Fault> {
         let fault = |why: String, cause| Fault { peer: self.address, why, cause };
-        let stream = match timeout(CONNECT, open(self.address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, open(self.address)).await {
             Ok(stream) => {
                 let cause = |e: &io::Error| match e.kind() {
                     io::ErrorKind::ConnectionRefused => Cause::Refused,
@@ -144,20 +144,20 @@
             }
         });
         self.made.set(self.made.get() + 1);
-        Ok(Link { sender, task: Task(task.abort_handle()), used: false })
+        Ok(Connection { sender, task: Task(task.abort_handle()), reused: false })
     }
 
     /// Keeps a connection whose answer was read to its end.
-    pub fn keep(&self, mut link: Link, headers: &HeaderMap) {
+    pub fn keep(&self, mut link: Connection, headers: &HeaderMap) {
         let closes = headers
             .get(hyper::header::CONNECTION)
             .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
         let mut idle = self.idle.borrow_mut();
-        if closes || link.sender.is_closed() || idle.len() >= IDLE {
+        if closes || link.sender.is_closed() || idle.len() >= MAX_IDLE_CONNECTIONS {
             return;
         }
-        link.used = true;
-        idle.push(Idle { link, until: Instant::now() + reuse(headers) });
+        link.reused = true;
+        idle.push(Idle { link, until: Instant::now() + reuse_time(headers) });
     }
 
     /// Drops all idle connections.
@@ -167,12 +167,14 @@
 }
 
 /// How long an idle connection is used again.
-fn reuse(headers: &HeaderMap) -> Duration {
-    let said = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|text| {
+fn reuse_time(headers: &HeaderMap) -> Duration {
+    let announced = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|text| {
         let seconds = text.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
         seconds.trim().parse::<u32>().ok()
     });
-    said.map_or(REUSE, |s| Duration::from_secs(s.into()).mul_f64(KEEP_PART).min(REUSE * 4))
+    announced.map_or(DEFAULT_REUSE_TIME, |s| {
+        Duration::from_secs(s.into()).mul_f64(KEEP_ALIVE_FRACTION).min(DEFAULT_REUSE_TIME * 4)
+    })
 }
 
 async fn open(address: SocketAddr) -> io::Result<TcpStream> {
@@ -182,13 +184,13 @@
     };
     socket.set_nodelay(true)?;
     let stream = socket.connect(address).await?;
-    if let Err(e) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED)) {
+    if let Err(e) = SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)) {
         log::debug!("gateway: no limit for unacknowledged bytes to {address}: {e}");
     }
     Ok(stream)
 }
 
-impl Link {
+impl Connection {
     /// Whether the server closed it.
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed() || self.task.0.is_finished()
