--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -74,7 +74,8 @@
         return;
     }
     for chunk in suspects.chunks(MAX_CONCURRENT_PROBES) {
-        let asked = chunk.iter().map(|p| probe::fetch_report(state, p, probe::urgent_timeout(state)));
+        let asked =
+            chunk.iter().map(|p| probe::fetch_report(state, p, probe::urgent_timeout(state)));
         let answers = futures_util::future::join_all(asked).await;
         let alive = answers.iter().filter(|answer| answer.is_ok()).count();
         if alive == 0 {
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -70,7 +70,7 @@
 
 /// A request for permits as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
-struct Request {
+struct PermitRequest {
     version: u16,
     server: Id,
     router: String,
@@ -290,7 +290,7 @@
     ask: Request,
 ) -> Result<Grant, String> {
     let Request { limit, free, free_age, want } = ask;
-    let question = Request {
+    let question = PermitRequest {
         version: VERSION,
         server: server.to_owned(),
         router: state.setup.vm.clone(),
@@ -306,14 +306,14 @@
 
 /// Answers another router's request for permits. None if the request can't be decoded.
 pub fn answer_request(state: &State, body: &[u8]) -> Option<Bytes> {
-    let question: Request = match postcard::from_bytes(body) {
+    let question: PermitRequest = match postcard::from_bytes(body) {
         Ok(question) => question,
         Err(e) => {
             log::warn!("gateway: request for permits can't be decoded: {e}");
             return None;
         }
     };
-    let Request { version, server, router, limit, free, free_age_ms, want } = question;
+    let PermitRequest { version, server, router, limit, free, free_age_ms, want } = question;
     if version != VERSION || !limit.is_finite() {
         return None;
     }
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -85,7 +85,9 @@
     /// Makes a router that did not answer eligible as a lender again, since a datagram of it has arrived.
     pub(crate) fn mark_alive(&self, lender: SocketAddr) {
         let accounts = self.accounts.borrow();
-        accounts.iter().for_each(|(_, account)| account.borrower.borrow_mut().clear_backoff(lender));
+        accounts
+            .iter()
+            .for_each(|(_, account)| account.borrower.borrow_mut().clear_backoff(lender));
     }
 
     fn account(&self, service: &str, need: Need) -> Rc<Account> {
@@ -227,7 +229,8 @@
         }
         None => {
             log::info!(
-                "gateway: no repeats from address={lender} why=no answer within {LOAN_VALIDITY:?}" );
+                "gateway: no repeats from address={lender} why=no answer within {LOAN_VALIDITY:?}"
+            );
             borrower.back_off(lender, now + LENDER_BACKOFF);
         }
     }
--- a/crates/gateway/src/retries/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -57,7 +57,8 @@
 /// Records that all reports from before the start of this process have been read.
 pub fn finish_replay(state: &State) {
     let heavy = &state.retries.heavy;
-    let before = if heavy.reported.get().is_some() { Predecessor::Unknown } else { Predecessor::Light };
+    let before =
+        if heavy.reported.get().is_some() { Predecessor::Unknown } else { Predecessor::Light };
     heavy.before.set(before);
     log::info!("gateway: repeats before={before:?}");
 }
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -244,7 +244,10 @@
     /// only a few of them would get a slot in time, so the rest are refused at once.
     async fn wait_for_path(&self, until: Instant) -> Option<Path> {
         let now = self.state.now();
-        limited::request_permits(self.state, self.service, |peer| route::holds_first_layer(peer, now)).await;
+        limited::request_permits(self.state, self.service, |peer| {
+            route::holds_first_layer(peer, now)
+        })
+        .await;
         let path = self.find_path();
         if path.is_some()
             || self.last_event.is_some()
