--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -6,7 +6,7 @@
 //! An engine batches, so a crash names several fingerprints and only one of them is at fault. All become suspects and
 //! run only alone from then on. A suspect that completes is cleared; one that runs at a second crash is refused
 //! everywhere for a set time. Two crashes are the fewest that tell the request at fault from those beside it. Agents
-//! list both kinds in their reports, and a suspect learnt from a peer counts the crash it had there. At most
+//! list both kinds in their reports, and a suspect that a peer reports counts the crash it had there. At most
 //! [`MAX_FINGERPRINTS`] fingerprints are kept; the oldest suspect is evicted first.
 
 use std::time::Duration;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -187,9 +187,8 @@
         self.next_by(room, now, |_| 0)
     }
 
-    /// Like [`Queue::next`], with `affinity` as the number that says how well a request suits the free slots: of
-    /// requests with equal right to start the one that suits best is returned, see
-    /// [`crate::route::Table::cached_ranges`].
+    /// Like [`Queue::next`], with a measure `affinity` of how well a request suits the free slots: of requests with
+    /// equal right to start the one that suits best is returned, see [`crate::route::Table::cached_ranges`].
     pub fn next_by(
         &mut self,
         room: Room,
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -87,7 +87,7 @@
 }
 
 impl Clock {
-    /// Returns the workspace to serve, among the heads of those with waiting requests; `affinity` returns, for the
+    /// Returns the workspace to serve, among the heads of those with waiting requests; `affinity` measures, for the
     /// first [`MAX_COMPARED`] of equal right, how well each suits the free slots.
     pub(crate) fn pick(
         &mut self,
--- a/crates/policy/src/tenure.rs
+++ b/crates/policy/src/tenure.rs
@@ -1,31 +1,31 @@
-//! When the holder of a seat that it can't use gives the seat up.
+//! When the holder of a partition that it can't use gives the partition up.
 //!
 //! Load pattern: the store accepts a router's membership calls, but rejects or does not answer its writes. While that
-//! router holds the first seat, and so is the leader, no orders are given to load layers, though another router might
-//! be able to give them. If no router is able to, each would pass the seat on to the next one, and every change of
-//! the group makes all routers send requests again.
+//! router holds the first partition, and so is the leader, no orders are given to load layers, though another router
+//! might be able to give them. If no router is able to, each would pass the partition on to the next one, and every
+//! change of the group makes all routers send requests again.
 //!
-//! So a holder gives the seat up after two seconds without success, stays out of the group for a short time so that
-//! another router gets it, and keeps it longer the next time.
+//! So a holder gives the partition up after two seconds without success, stays out of the group for a short time so
+//! that another router gets it, and keeps it longer the next time.
 
 use std::time::Duration;
 
-/// Time without success after which a seat is given up.
+/// Time without success after which a partition is given up.
 pub const MIN_IDLE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time for which a router that gave a seat up stays out of the group: the others ask for seats each second and a
-/// half at the latest.
+/// Time for which a router that gave a partition up stays out of the group: the others ask for partitions each second
+/// and a half at the latest.
 const WITHDRAWAL_TIME: Duration = Duration::from_secs(2);
 
-/// Longest time without success for a router that has given the seat up several times.
+/// Longest time without success for a router that has given the partition up several times.
 const MAX_IDLE_LIMIT: Duration = Duration::from_secs(32);
 
-/// State of a router as the holder of a seat.
+/// State of a router as the holder of a partition.
 #[derive(Debug)]
 pub struct Tenure {
-    /// Since when it has held the seat without success.
+    /// Since when it has held the partition without success.
     since: Option<Duration>,
-    /// Time without success after which it gives the seat up.
+    /// Time without success after which it gives the partition up.
     idle_limit: Duration,
     /// Until when it stays out of the group.
     withdrawn_until: Option<Duration>,
@@ -38,18 +38,18 @@
 }
 
 impl Tenure {
-    /// Records that the router could use the seat.
+    /// Records that the router could use the partition.
     pub fn succeeded(&mut self) {
         *self = Tenure::default();
     }
 
-    /// Records that the router does not hold the seat.
+    /// Records that the router does not hold the partition.
     pub fn released(&mut self) {
         self.since = None;
     }
 
-    /// Records that the router could not use the seat. Returns whether it gives the seat up to other routers, if
-    /// there are any (`others`).
+    /// Records that the router could not use the partition. Returns whether it gives the partition up to other
+    /// routers, if there are any (`others`).
     ///
     /// ```
     /// # use std::time::Duration;
@@ -60,7 +60,7 @@
     /// assert!(!tenure.failed(start + MIN_IDLE_LIMIT, false));
     /// assert!(tenure.failed(start + MIN_IDLE_LIMIT, true));
     /// assert!(tenure.is_withdrawn(start + MIN_IDLE_LIMIT));
-    /// // The next time it keeps the seat longer, as the others may not be able to use it either.
+    /// // The next time it keeps the partition longer, as the others may not be able to use it either.
     /// let again = start + 4 * MIN_IDLE_LIMIT;
     /// assert!(!tenure.is_withdrawn(again));
     /// assert!(!tenure.failed(again, true));
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Returns how long it has held the seat without success.
+    /// Returns how long it has held the partition without success.
     pub fn idle(&self, now: Duration) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -55,7 +55,7 @@
 #[case(Refused { ahead: 3, ask: ask("b", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
 #[case(Refused { ahead: 0, ask: ask("unknown", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
 #[case(Refused { ahead: 0, ask: ask("a", 4, 200), room: NONE, reason: Some(Reason::Outage) })]
-fn refuses_at_once_what_cannot_make_it(#[case] case: Refused) {
+fn refuses_at_once_what_would_miss_its_deadline(#[case] case: Refused) {
     let mut queue = queue();
     for i in 0..case.ahead {
         let ahead = ask(&case.ask.workspace, 4, 1000);
@@ -68,7 +68,7 @@
 // A refusal names a time to come back at which the caller is refused again: callers learn to ignore it and come back
 // at once.
 #[test]
-fn a_caller_that_comes_back_when_told_is_let_in() {
+fn a_caller_that_comes_back_at_the_given_time_is_admitted() {
     let mut queue = queue();
     let mut fill = 0;
     let retry_after = loop {
@@ -169,7 +169,7 @@
 // The fleet loses slots while requests wait. Those that can no longer meet their deadline are refused when that is
 // known, and never start.
 #[test]
-fn what_cannot_make_it_any_more_is_given_up() {
+fn what_can_no_longer_meet_its_deadline_is_refused() {
     let mut queue = queue();
     for i in 0..8 {
         queue.admit(ask("a", 4, 20), i, FULL, Duration::ZERO);
@@ -177,7 +177,7 @@
     assert!(queue.expired(FULL, secs(1)).is_empty());
     let slow = Room { slots: 1, ..FULL };
     let gone = queue.expired(slow, secs(2));
-    assert!(!gone.is_empty() && queue.waiting() > 0, "{} given up", gone.len());
+    assert!(!gone.is_empty() && queue.waiting() > 0, "{} refused", gone.len());
     assert!(gone.iter().all(|(_, r)| r.reason == Reason::Deadline && r.retry_after.is_some()));
     assert!(queue.next(ONE, secs(19)).is_none(), "none can end by 20 s");
     assert_eq!(queue.expired(FULL, secs(19)).len() + gone.len(), 8);
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -236,15 +236,15 @@
 
 // One request that crashes the engine runs beside seven others, and its caller sends it again.
 #[test]
-fn two_crashes_find_the_culprit_and_clear_the_others() {
+fn two_crashes_identify_the_request_at_fault() {
     let mut list = List::new(secs(600));
     assert!(list.crashed(&[1, 2, 3, 4, 5, 6, 7, 8], secs(1)).is_empty());
     let mut peer = List::new(secs(600));
     peer.merge(&list.suspects(secs(1)), &[], secs(1));
     assert_eq!(peer.verdict(3, secs(2)), Verdict::Alone);
-    for innocent in [1, 2, 4, 5, 6, 7, 8] {
-        peer.completed(innocent);
-        assert_eq!(peer.verdict(innocent, secs(2)), Verdict::Clear);
+    for harmless in [1, 2, 4, 5, 6, 7, 8] {
+        peer.completed(harmless);
+        assert_eq!(peer.verdict(harmless, secs(2)), Verdict::Clear);
     }
     assert_eq!(peer.crashed(&[3], secs(3)), [3]);
     assert_eq!(peer.verdict(3, secs(3)), Verdict::Refused { left: secs(600) });
