--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -43,15 +43,15 @@
     /// Held by the suspect that runs alone.
     alone: Semaphore,
     /// Notified when there may be something to send to other routers.
-    news: Notify,
+    changed: Notify,
     refused: Cell<u64>,
     lost: Cell<u64>,
 }
 
 impl Default for Crashes {
     fn default() -> Crashes {
-        let (list, alone, news) = (RefCell::default(), Semaphore::new(1), Notify::new());
-        Crashes { list, alone, news, refused: Cell::default(), lost: Cell::default() }
+        let (list, alone, changed) = (RefCell::default(), Semaphore::new(1), Notify::new());
+        Crashes { list, alone, changed, refused: Cell::default(), lost: Cell::default() }
     }
 }
 
@@ -69,7 +69,7 @@
 pub fn verdict(state: &State, call: &Call) -> Verdict {
     let verdict = state.crashes.list.borrow_mut().verdict(call.content, state.now());
     if matches!(verdict, Verdict::Refused { .. }) {
-        state.crashes.news.notify_one();
+        state.crashes.changed.notify_one();
     }
     verdict
 }
@@ -89,8 +89,8 @@
     Some(answer::own_after(Reason::Crashes, Some(left)))
 }
 
-/// Waits until a request may be sent; a suspect runs beside no other suspect. Fails if the request is refused. One
-/// whose answer has `begun` continues unless its content is in quarantine.
+/// Waits until a request may be sent: a suspect waits up to `MAX_ALONE_WAIT` for others that run alone, and then holds
+/// the permit. Fails if the request is refused. One whose answer has `begun` continues unless it is in quarantine.
 pub async fn admit<'a>(
     state: &'a State,
     call: &Call,
@@ -120,7 +120,7 @@
     let (content, description) = (call.content, content::description(&state.codec.names, call));
     let (id, bytes, workspace) = (call.id.clone(), call.size(), call.workspace.clone());
     let (server, at) = (peer.server(), state.now());
-    let news = peer.note_broke(at);
+    let announce = peer.note_broke(at);
     let (state, peer) = (state.clone(), peer.clone());
     spawn_local(async move {
         let ended = probe::refuses(&peer).await;
@@ -141,7 +141,7 @@
             let start = Start { id: server.id.clone(), born: server.born };
             return record_loss(&state, content, Loss { start, at, events }, false);
         }
-        if news {
+        if announce {
             state.announce(Notice::Broke { server: server.id.clone() });
         }
         if peer.broke_off(state.now()) {
@@ -154,12 +154,12 @@
     })
 }
 
-fn record_loss(state: &State, content: Fingerprint, loss: Loss, received: bool) {
+fn record_loss(state: &State, content: Fingerprint, loss: Loss, remote: bool) {
     let crashes = &state.crashes;
-    crashes.lost.set(crashes.lost.get() + u64::from(!received));
-    crashes.list.borrow_mut().lost(content, loss, received);
-    if !received {
-        crashes.news.notify_one();
+    crashes.lost.set(crashes.lost.get() + u64::from(!remote));
+    crashes.list.borrow_mut().lost(content, loss, remote);
+    if !remote {
+        crashes.changed.notify_one();
     }
 }
 
@@ -211,7 +211,7 @@
     parse_fingerprint(content)
         .into_iter()
         .for_each(|content| list.refuse(content, left, servers, state.now(), rand::random()));
-    state.crashes.news.notify_one();
+    state.crashes.changed.notify_one();
 }
 
 /// Lifts the quarantine of a request. Returns whether it was known.
@@ -219,7 +219,7 @@
     let known = parse_fingerprint(content)
         .is_some_and(|content| state.crashes.list.borrow_mut().lift(content, state.now()));
     log::warn!("gateway: quarantine content={content} lifted={known} why=lifted by an operator");
-    state.crashes.news.notify_one();
+    state.crashes.changed.notify_one();
     known
 }
 
@@ -227,17 +227,17 @@
 pub async fn notify_routers(state: Rc<State>) {
     let mut wait = IDLE_INTERVAL;
     loop {
-        let woken = timeout(wait, state.crashes.news.notified()).await.is_ok();
+        let woken = timeout(wait, state.crashes.changed.notified()).await.is_ok();
         sleep(GATHER_DELAY).await;
         let now = state.now();
-        let news = state.crashes.list.borrow_mut().news(now, rand::random());
+        let update = state.crashes.list.borrow_mut().news(now, rand::random());
         wait = match state.crashes.list.borrow().counts(now) {
             // Pending notifications are due after this time.
             _ if woken => GATHER,
             (0, _) => IDLE_INTERVAL,
             _ => NOTIFY_INTERVAL,
         };
-        to_notices(news, now).into_iter().for_each(|notice| {
+        to_notices(update, now).into_iter().for_each(|notice| {
             if let Notice::Refused { content, servers, until_ms } = &notice {
                 log::warn!(
                     "gateway: quarantine content={content} servers_ended={servers} until_ms={until_ms}"
@@ -248,9 +248,9 @@
     }
 }
 
-fn to_notices(news: News, now: Duration) -> Vec<Notice> {
+fn to_notices(update: News, now: Duration) -> Vec<Notice> {
     let mut all: Vec<Notice> = Vec::new();
-    let mut lost = news.lost;
+    let mut lost = update.lost;
     lost.sort_by(|(_, a), (_, b)| a.start.cmp(&b.start));
     for runs in lost.chunk_by(|(_, a), (_, b)| a.start == b.start) {
         let loss = &runs[0].1;
@@ -265,13 +265,14 @@
         });
     }
     for refused in [false, true] {
-        let some = news.cleared.iter().filter(|(_, was)| *was == refused);
-        let contents: Vec<String> = some.map(|(content, _)| format_fingerprint(*content)).collect();
+        let cleared = update.cleared.iter().filter(|(_, was_refused)| *was_refused == refused);
+        let contents: Vec<String> =
+            cleared.map(|(content, _)| format_fingerprint(*content)).collect();
         if !contents.is_empty() {
             all.push(Notice::Cleared { contents, refused });
         }
     }
-    for (content, left, servers) in news.refused {
+    for (content, left, servers) in update.refused {
         let until_ms = (clock::wall() + left).as_millis() as u64;
         all.push(Notice::Refused { content: format_fingerprint(content), until_ms, servers });
     }
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -70,7 +70,7 @@
 
 /// A request for permits as it is sent.
 #[derive(Debug, Serialize, Deserialize)]
-struct Request {
+struct PermitRequest {
     version: u16,
     server: Id,
     router: String,
@@ -181,7 +181,7 @@
     }
 }
 
-/// Records a server's limit that another router has read.
+/// Records the change of a server's limit that another router has read, or that the limit has ended.
 pub fn receive(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
     let first = peer.limited.per_s().is_none();
     if peer.limited.set(per_s_milli.map(|limit| limit as f64 / 1e3), state.now()) {
@@ -290,7 +290,7 @@
     ask: Ask,
 ) -> Result<Grant, String> {
     let Ask { limit, free, free_age, want } = ask;
-    let question = Request {
+    let request = PermitRequest {
         version: VERSION,
         server: server.to_owned(),
         router: state.setup.vm.clone(),
@@ -300,20 +300,20 @@
         want,
     };
     let (permits, again_ms): Reply =
-        state.neighbours.ask(address, "/permits", &question, ANSWER_TIMEOUT).await?;
+        state.neighbours.ask(address, "/permits", &request, ANSWER_TIMEOUT).await?;
     Ok(Grant { permits: permits.min(want), again: Duration::from_millis(again_ms) })
 }
 
 /// Answers another router's request for permits. None if the request can't be decoded.
 pub fn answer_request(state: &State, body: &[u8]) -> Option<Bytes> {
-    let question: Request = match postcard::from_bytes(body) {
-        Ok(question) => question,
+    let request: PermitRequest = match postcard::from_bytes(body) {
+        Ok(request) => request,
         Err(e) => {
             log::warn!("gateway: request for permits can't be decoded: {e}");
             return None;
         }
     };
-    let Request { version, server, router, limit, free, free_age_ms, want } = question;
+    let PermitRequest { version, server, router, limit, free, free_age_ms, want } = request;
     if version != VERSION || !limit.is_finite() {
         return None;
     }
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -70,8 +70,8 @@
 }
 
 impl Account {
-    /// Number of waiting answers for which no borrowed retry is held.
-    fn short(&self, now: Duration) -> u32 {
+    /// Number of waiting answers for which no borrowed retry is available.
+    fn shortfall(&self, now: Duration) -> u32 {
         self.waiting.get().saturating_sub(self.borrower.borrow_mut().held(now) as u32)
     }
 }
@@ -82,8 +82,8 @@
         self.handover.has_ended()
     }
 
-    /// Makes a router that did not answer eligible as a lender again, since a datagram of it has arrived.
-    pub(crate) fn mark_alive(&self, lender: SocketAddr) {
+    /// Clears the backoff of a router that did not answer, since it has shown to be running.
+    pub(crate) fn clear_backoff(&self, lender: SocketAddr) {
         let accounts = self.accounts.borrow();
         accounts.iter().for_each(|(_, account)| account.borrower.borrow_mut().trust(lender));
     }
@@ -137,7 +137,7 @@
 pub async fn borrow(state: &Rc<State>, service: &str, need: Need) {
     let account = state.repeats.account(service, need);
     let until = Instant::now() + MAX_BORROW_WAIT;
-    let _waits = Counted::new(&account.waiting);
+    let _waiting = Counted::new(&account.waiting);
     while !is_available(state, service, need) {
         if !account.asking.get() {
             if !may_borrow(state, service, need) {
@@ -155,21 +155,21 @@
 /// Asks other routers for as many retries as are waited for.
 async fn ask_others(state: Rc<State>, service: String, need: Need, account: Rc<Account>) {
     let (began, routers) = (state.now(), state.routers());
-    let part = state.budget(&service, |budget| budget.part(began, routers));
+    let share = state.budget(&service, |budget| budget.part(began, routers));
     let others = state.sharing.others(began);
-    let mut round = account.borrower.borrow_mut().round(&others, 0, part, began, &mut rand::rng());
+    let mut round = account.borrower.borrow_mut().round(&others, 0, share, began, &mut rand::rng());
     let (sender, mut answers) = mpsc::unbounded_channel();
     let (mut asked, mut wanted) = (0, 0);
     loop {
-        let short = account.short(state.now());
-        wanted += short.saturating_sub(round.want());
-        round.raise(short);
-        let mut open = round.wave();
-        if open.is_empty() {
+        let shortfall = account.shortfall(state.now());
+        wanted += shortfall.saturating_sub(round.want());
+        round.raise(shortfall);
+        let mut pending = round.wave();
+        if pending.is_empty() {
             break;
         }
-        asked += open.len();
-        for ask in &open {
+        asked += pending.len();
+        for ask in &pending {
             let borrowed = ask_lender(
                 state.clone(),
                 service.clone(),
@@ -181,24 +181,24 @@
             spawn_local(borrowed);
         }
         let until = Instant::now() + HEDGE_DELAY;
-        while !open.is_empty() {
+        while !pending.is_empty() {
             let Ok(Some((lender, loan))) = timeout_at(until, answers.recv()).await else { break };
             account.answered.notify_waiters();
-            if let Some(at) = open.iter().position(|ask: &Ask<_>| ask.lenders[0] == lender) {
+            if let Some(at) = pending.iter().position(|ask: &Ask<_>| ask.lenders[0] == lender) {
                 match loan {
-                    Some(loan) => round.note(open.swap_remove(at), loan),
-                    None => round.lost(open.swap_remove(at)),
+                    Some(loan) => round.note(pending.swap_remove(at), loan),
+                    None => round.lost(pending.swap_remove(at)),
                 }
             }
         }
-        open.into_iter().for_each(|ask| round.lost(ask));
+        pending.into_iter().for_each(|ask| round.lost(ask));
     }
     account.asking.set(false);
     account.answered.notify_waiters();
     if let Line::Written(left_out) = state.repeats.lines.borrow_mut().take(began, MAX_LINES_PER_S) {
         let (refused, took) = (round.want(), state.now().saturating_sub(began));
         log::info!(
-            "gateway: repeats service={service} need={need:?} part={part} wanted={wanted} borrowed={} \
+            "gateway: repeats service={service} need={need:?} part={share} wanted={wanted} borrowed={} \
              refused={refused} asked={asked} routers={} took={took:?} lines_left_out={left_out}",
             wanted.saturating_sub(refused),
             others.len(),
@@ -248,10 +248,11 @@
     let settings = state.settings();
     for service in settings.iter().flat_map(|settings| &settings.services) {
         let name = &service.name;
-        let part = state.budget(name, |budget| budget.part(now, routers));
+        let share = state.budget(name, |budget| budget.part(now, routers));
         let left = state.budget(name, |budget| budget.left(now, routers));
         text.push_str(&format!(
-            "hyssop_repeats_part{{service=\"{name}\"}} {part}\nhyssop_repeats_left{{service=\"{name}\"}} {left}\n"
+            "hyssop_repeats_part{{service=\"{name}\"}} {share}
+hyssop_repeats_left{{service=\"{name}\"}} {left}\n"
         ));
     }
     text
--- a/crates/gateway/src/retries/datagram.rs
+++ b/crates/gateway/src/retries/datagram.rs
@@ -64,8 +64,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Endpoint {
     socket: OnceCell<Rc<UdpSocket>>,
-    next: Cell<u64>,
-    open: RefCell<Vec<(u64, SocketAddr, oneshot::Sender<Loan>)>>,
+    next_id: Cell<u64>,
+    pending: RefCell<Vec<(u64, SocketAddr, oneshot::Sender<Loan>)>>,
 }
 
 /// Handles requests and replies of other routers for as long as the process runs.
@@ -74,7 +74,7 @@
         Ok(socket) => Rc::new(socket),
         Err(e) => {
             return log::error!(
-                "gateway: no repeats are lent or borrowed address={address} why={e}"
+                "gateway: retries are neither lent nor borrowed address={address} why={e}"
             );
         }
     };
@@ -94,48 +94,48 @@
             log::debug!("gateway: datagram from {from} ignored: not a member of the group");
             continue;
         }
-        state.repeats.mark_alive(from);
+        state.repeats.clear_backoff(from);
         match postcard::from_bytes(&buffer[..length]) {
-            Ok(Datagram::Ask(question)) if question.version == VERSION => {
-                receive_request(&state, question, from).await;
+            Ok(Datagram::Ask(request)) if request.version == VERSION => {
+                receive_request(&state, request, from).await;
             }
-            Ok(Datagram::Loan(answer)) if answer.version == VERSION => {
-                receive_reply(&state, &answer, from);
+            Ok(Datagram::Loan(reply)) if reply.version == VERSION => {
+                receive_reply(&state, &reply, from);
             }
             other => log::debug!("gateway: datagram from {from} ignored: {other:?}"),
         }
     }
 }
 
-async fn receive_request(state: &Rc<State>, question: LoanRequest, from: SocketAddr) {
-    let loan = lender::lend(state, &question.service, question.need(), question.want);
-    if loan.lent == question.want || question.others.is_empty() {
-        return answer(state, question.id, loan, from).await;
+async fn receive_request(state: &Rc<State>, request: LoanRequest, from: SocketAddr) {
+    let loan = lender::lend(state, &request.service, request.need(), request.want);
+    if loan.lent == request.want || request.others.is_empty() {
+        return reply(state, request.id, loan, from).await;
     }
     let state = state.clone();
     spawn_local(async move {
-        let more = lender::ask_others_for(&state, &question, question.want - loan.lent).await;
+        let more = lender::borrow_for(&state, &request, request.want - loan.lent).await;
         let loan = Loan { lent: loan.lent + more.lent, again: loan.again.min(more.again) };
-        answer(&state, question.id, loan, from).await;
+        reply(&state, request.id, loan, from).await;
     });
 }
 
-async fn answer(state: &State, id: u64, loan: Loan, to: SocketAddr) {
+async fn reply(state: &State, id: u64, loan: Loan, to: SocketAddr) {
     let again_ms = loan.again.as_millis() as u64;
-    let answer = LoanReply { version: VERSION, id, lent: loan.lent, again_ms };
-    if let Err(e) = send(state, &Datagram::Loan(answer), to).await {
+    let reply = LoanReply { version: VERSION, id, lent: loan.lent, again_ms };
+    if let Err(e) = send(state, &Datagram::Loan(reply), to).await {
         log::debug!("gateway: loan could not be sent to {to}: {e}");
     }
 }
 
-fn receive_reply(state: &State, answer: &LoanReply, from: SocketAddr) {
-    let mut open = state.repeats.endpoint.open.borrow_mut();
-    let found = open.iter().position(|(id, to, _)| *id == answer.id && *to == from);
+fn receive_reply(state: &State, reply: &LoanReply, from: SocketAddr) {
+    let mut pending = state.repeats.endpoint.pending.borrow_mut();
+    let found = pending.iter().position(|(id, to, _)| *id == reply.id && *to == from);
     if let Some(at) = found {
-        let (_, _, waits) = open.swap_remove(at);
-        let loan = Loan { lent: answer.lent, again: Duration::from_millis(answer.again_ms) };
+        let (_, _, waiter) = pending.swap_remove(at);
+        let loan = Loan { lent: reply.lent, again: Duration::from_millis(reply.again_ms) };
         // Fails if the request has timed out in the meantime.
-        let _ = waits.send(loan);
+        let _ = waiter.send(loan);
     }
 }
 
@@ -157,11 +157,13 @@
 ) -> Option<Loan> {
     let (endpoint, to) = (&state.repeats.endpoint, ask.lenders[0]);
     // Ids begin at the incarnation, so that a late reply to the previous process matches no request of this one.
-    let id =
-        state.sharing.incarnation().wrapping_add(endpoint.next.replace(endpoint.next.get() + 1));
-    let (sender, answered) = oneshot::channel();
-    endpoint.open.borrow_mut().push((id, to, sender));
-    let question = LoanRequest {
+    let id = state
+        .sharing
+        .incarnation()
+        .wrapping_add(endpoint.next_id.replace(endpoint.next_id.get() + 1));
+    let (sender, reply) = oneshot::channel();
+    endpoint.pending.borrow_mut().push((id, to, sender));
+    let request = LoanRequest {
         version: VERSION,
         id,
         service: service.to_owned(),
@@ -169,13 +171,13 @@
         begun: need == Need::Begun,
         others: ask.lenders[1..].to_vec(),
     };
-    let loan = match send(state, &Datagram::Ask(question), to).await {
-        Ok(()) => timeout(limit, answered).await.ok().and_then(Result::ok),
+    let loan = match send(state, &Datagram::Ask(request), to).await {
+        Ok(()) => timeout(limit, reply).await.ok().and_then(Result::ok),
         Err(e) => {
             log::debug!("gateway: request for retries could not be sent to {to}: {e}");
             None
         }
     };
-    endpoint.open.borrow_mut().retain(|(open, ..)| *open != id);
+    endpoint.pending.borrow_mut().retain(|(pending, ..)| *pending != id);
     loan.map(|loan| Loan { lent: loan.lent.min(ask.want), ..loan })
 }
--- a/crates/gateway/src/retries/lender.rs
+++ b/crates/gateway/src/retries/lender.rs
@@ -29,9 +29,9 @@
 }
 
 /// Asks other members of the group on behalf of a router for retries that this one can't lend itself.
-pub(super) async fn ask_others_for(state: &State, question: &LoanRequest, want: u32) -> Loan {
+pub(super) async fn borrow_for(state: &State, request: &LoanRequest, want: u32) -> Loan {
     let members = state.sharing.others(state.now());
-    let known = question.others.iter().copied();
+    let known = request.others.iter().copied();
     let known: Vec<SocketAddr> =
         known.filter(|other| members.binary_search(other).is_ok()).collect();
     let until = Instant::now() + HEDGE_DELAY / 2;
@@ -43,10 +43,10 @@
         if asks.is_empty() || left.is_zero() {
             return all;
         }
-        let (service, need) = (&question.service, question.need());
-        let answers = asks.iter().map(|ask| datagram::ask(state, service, need, ask, left));
-        let answers = join_all(answers).await;
-        for (ask, loan) in asks.into_iter().zip(answers) {
+        let (service, need) = (&request.service, request.need());
+        let replies = asks.iter().map(|ask| datagram::ask(state, service, need, ask, left));
+        let replies = join_all(replies).await;
+        for (ask, loan) in asks.into_iter().zip(replies) {
             if let Some(loan) = loan {
                 all.lent += loan.lent;
                 all.again = all.again.min(loan.again);
--- a/crates/gateway/src/shared_read/members.rs
+++ b/crates/gateway/src/shared_read/members.rs
@@ -70,7 +70,7 @@
     state.neighbours.keep(&others);
     let before = state.sharing.others.replace(others.clone().into());
     let joined = others.iter().filter(|address| before.binary_search(address).is_err());
-    joined.for_each(|address| state.repeats.mark_alive(*address));
+    joined.for_each(|address| state.repeats.clear_backoff(*address));
     let until = state.now() + state.setup.grace;
     let mut leaving = state.sharing.leaving.borrow_mut();
     leaving.extend(before.iter().map(|address| (*address, until)));
