--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -65,7 +65,7 @@
 /// The ledgers that this router owns, by id of the server.
 #[derive(Debug, Default)]
 pub struct Ledgers {
-    ledgers: RefCell<Vec<(Id, Ledger)>>,
+    by_server: RefCell<Vec<(Id, Ledger)>>,
 }
 
 /// A request for permits as it is sent.
@@ -326,7 +326,7 @@
 /// Grants permits from a ledger that this router owns.
 fn grant(state: &State, server: &str, router: &str, ask: Ask) -> Grant {
     let now = state.now();
-    let mut ledgers = state.keeper.ledgers.borrow_mut();
+    let mut ledgers = state.keeper.by_server.borrow_mut();
     ledgers.retain(|(_, ledger)| ledger.asked().is_some_and(|at| now < at + LEDGER_TTL));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -238,12 +238,12 @@
 
 /// Metrics text: this router's shares of the budgets, what is left of them, and loans.
 pub fn page(state: &State) -> String {
-    let (now, routers, repeats) = (state.now(), state.routers(), &state.repeats);
+    let (now, routers, retries) = (state.now(), state.routers(), &state.repeats);
     let mut text = format!(
         "hyssop_repeats_lent_total {}\nhyssop_repeats_borrowed_total {}\nhyssop_repeats_refused_total {}\n",
-        repeats.lent.get(),
-        repeats.borrowed.get(),
-        repeats.refused.get()
+        retries.lent.get(),
+        retries.borrowed.get(),
+        retries.refused.get()
     );
     let settings = state.settings();
     for service in settings.iter().flat_map(|settings| &settings.services) {
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -51,7 +51,7 @@
     }
     wait_for_callers(state, end).await;
     retries::hand_over(state).await;
-    // More callers may have connected meanwhile.
+    // More callers may have connected in the meantime.
     wait_for_callers(state, end).await;
     log::info!("gateway: stopped serving={} callers={}", state.serving.get(), state.callers.get());
 }
--- a/crates/layers/src/placement/copies.rs
+++ b/crates/layers/src/placement/copies.rs
@@ -71,7 +71,7 @@
     /// Requests that run at that rate.
     running: f64,
     /// The rate, weighted down by the time that events take.
-    worth: f64,
+    on_time_rate: f64,
 }
 
 /// The copy that these servers hold together, and its rate.
@@ -91,8 +91,8 @@
     let running = |rate: f64| rate * events * event_ms(rate);
     let context = pass.prompt + pass.answer / 2.0;
     let rate = super::most(top, |rate| running(rate) * context <= tokens);
-    let worth = rate * (1.0 - event_ms(rate) / (2.0 * shape.pause_ms)).max(0.0);
-    Some(Copy { layers, rate, running: running(rate), worth })
+    let on_time_rate = rate * (1.0 - event_ms(rate) / (2.0 * shape.pause_ms)).max(0.0);
+    Some(Copy { layers, rate, running: running(rate), on_time_rate })
 }
 
 /// A way to split servers, by position: those of each copy, and those that only begin requests.
@@ -154,8 +154,8 @@
 
 /// Score of copies together: what they serve on time, and what remains while the best one lacks a server.
 fn score(copies: &[&Copy]) -> f64 {
-    let worth: f64 = copies.iter().map(|copy| copy.worth).sum();
+    let on_time_rate: f64 = copies.iter().map(|copy| copy.on_time_rate).sum();
     let rate: f64 = copies.iter().map(|copy| copy.rate).sum();
     let best = copies.iter().map(|copy| copy.rate).fold(0.0, f64::max);
-    worth + rate - best
+    on_time_rate + rate - best
 }
