--- a/crates/gateway/src/logging.rs
+++ b/crates/gateway/src/logging.rs
@@ -19,7 +19,7 @@
 /// Log lines about broken runs in a second.
 pub const MAX_LOSS_LINES_PER_S: u32 = 100;
 
-/// Capacity of the queue in lines: as many as one second of the busiest minute of a measured run.
+/// Capacity of the queue: the lines of one second in the busiest minute.
 const MAX_QUEUED_LINES: usize = 2048;
 
 /// A writer that puts lines into the queue without blocking.
