--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -65,7 +65,7 @@
 /// The ledgers that this router owns, by id of the server.
 #[derive(Debug, Default)]
 pub struct Ledgers {
-    ledgers: RefCell<Vec<(Id, Ledger)>>,
+    by_server: RefCell<Vec<(Id, Ledger)>>,
 }
 
 /// A request for permits as it is sent.
@@ -181,7 +181,7 @@
     }
 }
 
-/// Records a server's limit that another router has read.
+/// Records the change of a server's limit that another router has read, or that the limit has ended.
 pub fn receive(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
     let first = peer.limited.per_s().is_none();
     if peer.limited.set(per_s_milli.map(|limit| limit as f64 / 1e3), state.now()) {
@@ -290,7 +290,7 @@
     ask: Request,
 ) -> Result<Grant, String> {
     let Request { limit, free, free_age, want } = ask;
-    let question = PermitRequest {
+    let request = PermitRequest {
         version: VERSION,
         server: server.to_owned(),
         router: state.setup.vm.clone(),
@@ -300,20 +300,20 @@
         want,
     };
     let (permits, again_ms): Reply =
-        state.neighbours.ask(address, "/permits", &question, ANSWER_TIMEOUT).await?;
+        state.neighbours.ask(address, "/permits", &request, ANSWER_TIMEOUT).await?;
     Ok(Grant { permits: permits.min(want), retry_after: Duration::from_millis(again_ms) })
 }
 
 /// Answers another router's request for permits. None if the request can't be decoded.
 pub fn answer_request(state: &State, body: &[u8]) -> Option<Bytes> {
-    let question: PermitRequest = match postcard::from_bytes(body) {
-        Ok(question) => question,
+    let request: PermitRequest = match postcard::from_bytes(body) {
+        Ok(request) => request,
         Err(e) => {
             log::warn!("gateway: request for permits can't be decoded: {e}");
             return None;
         }
     };
-    let PermitRequest { version, server, router, limit, free, free_age_ms, want } = question;
+    let PermitRequest { version, server, router, limit, free, free_age_ms, want } = request;
     if version != VERSION || !limit.is_finite() {
         return None;
     }
@@ -326,7 +326,7 @@
 /// Grants permits from a ledger that this router owns.
 fn grant(state: &State, server: &str, router: &str, ask: Request) -> Grant {
     let now = state.now();
-    let mut ledgers = state.ledgers.ledgers.borrow_mut();
+    let mut ledgers = state.ledgers.by_server.borrow_mut();
     ledgers.retain(|(_, ledger)| ledger.last_request().is_some_and(|at| now < at + LEDGER_TTL));
     let at = ledgers.binary_search_by(|(id, _)| id.as_str().cmp(server)).unwrap_or_else(|at| {
         ledgers.insert(at, (server.to_owned(), Ledger::default()));
