--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -41,8 +41,8 @@
 /// the limit is for a store that answers for some logs only.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(4000);
 
-/// Time after the store was regained during which a missing entry may have lapsed while the store was unavailable.
-const LAPSE_GRACE: Duration = Duration::from_millis(1500);
+/// Time after the store was regained during which a missing entry may have expired while the store was unavailable.
+const EXPIRY_GRACE: Duration = Duration::from_millis(1500);
 
 /// A key and its value; the value is none if the key was deleted.
 pub type Keyed = (String, Option<Bytes>);
@@ -94,7 +94,7 @@
         if info.whole {
             entries::drop_missing(&state, items, info.regained);
         }
-        entries::drop_expired(&state);
+        entries::drop_after_grace(&state);
         shared_read::record_list(&state, info.end);
         state.servers_read.set(true);
         let after = state.peers().len();
@@ -154,7 +154,7 @@
             (at, era) = (None, current_era);
         }
         if restored {
-            // Entries that the restored copy lacks are written again, as lapsed ones are.
+            // Entries that the restored copy lacks are written again, as expired ones are.
             regained_at = Some(Instant::now());
         }
         if log == Log::Servers && shared_read::take_full_read_request(state) {
@@ -182,7 +182,7 @@
                     log::info!("gateway: store regained log={log} away={:?}", since.elapsed());
                     regained_at = Some(Instant::now());
                 }
-                let regained = regained_at.is_some_and(|at| at.elapsed() < LAPSE_GRACE);
+                let regained = regained_at.is_some_and(|at| at.elapsed() < EXPIRY_GRACE);
                 let whole = kind == ReadKind::Newest;
                 let taken = take(&items, BatchInfo { end, whole, regained });
                 shared_read::cache_newest(state, log, &items, &taken, end, whole);
--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -8,8 +8,8 @@
 use crate::state::State;
 use crate::store::{Item, Offset};
 
-/// Time within which entries that lapsed while the store was unavailable are written again.
-const LAPSED_ENTRY_TIME: Duration = Duration::from_millis(2200);
+/// Time within which entries that expired while the store was unavailable are written again.
+const EXPIRED_ENTRY_GRACE: Duration = Duration::from_millis(2200);
 
 /// Applies a record of the list; returns false if a newer one is known.
 pub(super) fn apply(state: &State, decoder: Decoder, item: &Item, regained: bool) -> bool {
@@ -56,7 +56,7 @@
             state.add(Peer::new(server, known));
         }
         // An entry that can't be read names no server to use.
-        (None, Some(_)) => remove_or_lapse(state, &item.key, regained),
+        (None, Some(_)) => remove_or_expire(state, &item.key, regained),
         (None, None) => {}
     }
     true
@@ -76,13 +76,13 @@
     );
 }
 
-/// Handles a server whose entry is gone. Entries lapse while the store is unavailable and are written again soon after;
+/// Handles a server whose entry is gone. Entries expire while the store is unavailable and are written again soon after;
 /// dropping all of them at once would leave no server to send requests to.
-fn remove_or_lapse(state: &State, id: &Id, regained: bool) {
+fn remove_or_expire(state: &State, id: &Id, regained: bool) {
     let Some(peer) = state.peer(id) else { return };
     if regained && peer.ready() {
         log::info!("gateway: server={id} lapsed=true");
-        peer.lapse(state.now() + LAPSED_ENTRY_TIME);
+        peer.lapse(state.now() + EXPIRED_ENTRY_GRACE);
     } else {
         log::info!("gateway: server={id} gone=true");
         state.remove(id);
@@ -93,12 +93,12 @@
     for peer in state.peers() {
         let id = peer.server().id.clone();
         if !items.iter().any(|i| i.key == id) {
-            remove_or_lapse(state, &id, regained);
+            remove_or_expire(state, &id, regained);
         }
     }
 }
 
-pub(super) fn drop_expired(state: &State) {
+pub(super) fn drop_after_grace(state: &State) {
     let now = state.now();
     for peer in state.peers().iter().filter(|p| p.expired(now)) {
         let id = peer.server().id.clone();
--- a/crates/gateway/src/follow/notices.rs
+++ b/crates/gateway/src/follow/notices.rs
@@ -63,7 +63,7 @@
     while !state.servers_read.get() {
         let _ = tokio::time::timeout(RETRY_PAUSE, state.changed.notified()).await;
     }
-    notice::catch_up(state, &earlier);
+    notice::replay(state, &earlier);
     repeats::note_read(state);
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,11 @@
-//! A router that serves callers straight from backend servers which pass hidden states on by
-//! themselves, with the platform's store as the only thing that lasts.
+//! A router that serves callers straight from backend servers, which pass hidden states on among themselves. The
+//! platform's store is the only durable part.
 //!
-//! The path of a request: [`edge`] reads it, [`request`] checks it against the settings,
-//! [`plain`] or [`stream`] sends it to backend servers and answers the caller. Beside it
-//! [`follow`] keeps settings, servers and notices up to date from the store, and [`leader`] lets one
-//! router at a time order the model servers to hold layers. Decisions are in the crates `policy`
-//! and `layers`. How the platform spells all this is given by a [`wire::Codec`] and a
-//! [`store::Client`].
+//! The path of a request: [`edge`] reads it, [`request`] checks it against the settings, and [`plain`] or [`stream`]
+//! sends it to backend servers and answers the caller. Independently of requests, [`follow`] keeps settings, servers
+//! and notices up to date from the store, and [`leader`] lets one router at a time order the model servers to hold
+//! layers. The crates `policy` and `layers` make the decisions. A [`wire::Codec`] and a [`store::Client`] define the
+//! formats of the platform.
 
 pub mod answer;
 pub mod clock;
--- a/crates/gateway/src/neighbours.rs
+++ b/crates/gateway/src/neighbours.rs
@@ -1,4 +1,4 @@
-//! Questions to other routers that are answered at once.
+//! Requests to other routers that are answered at once.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,36 +13,36 @@
 use crate::pool::Pool;
 use crate::shared_read;
 
-/// Connections to other routers, and those of them that did not answer lately.
+/// Connections to other routers, and which of these did not answer lately.
 #[derive(Debug, Default)]
 pub struct Neighbours {
     pools: RefCell<Vec<(SocketAddr, Rc<Pool>)>>,
-    /// Routers that are passed over, and until when.
+    /// Routers that are avoided, and until when.
     avoided: RefCell<Vec<(SocketAddr, Duration)>>,
 }
 
 impl Neighbours {
-    /// Passes over a router until then.
+    /// Avoids a router until then.
     pub fn avoid(&self, address: SocketAddr, now: Duration, until: Duration) {
         let mut avoided = self.avoided.borrow_mut();
         avoided.retain(|(known, until)| now < *until && *known != address);
         avoided.push((address, until));
     }
 
-    /// Whether a router is passed over.
+    /// Whether a router is avoided.
     pub fn avoids(&self, address: SocketAddr, now: Duration) -> bool {
         self.avoided.borrow().iter().any(|(known, until)| *known == address && now < *until)
     }
 
-    /// Asks a router; its answer, or why there is none.
+    /// Sends a request to a router; returns its answer, or why there is none.
     pub async fn ask<Q: Serialize, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-        question: &Q,
+        request: &Q,
         limit: Duration,
     ) -> Result<A, String> {
-        let body = Bytes::from(postcard::to_allocvec(question).expect("plain fields"));
+        let body = Bytes::from(postcard::to_allocvec(request).expect("plain fields"));
         let pool = self.pool(address);
         let answer = timeout(limit, shared_read::get(&pool, path, body)).await;
         let answer = answer.map_err(|_| format!("no answer within {limit:?}"))??;
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -1,4 +1,4 @@
-//! What one router tells the others, through the store.
+//! Notices that one router sends to the others, by gossip and through the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,21 +29,21 @@
         /// The server.
         server: String,
     },
-    /// A server broke a run off and lives.
+    /// A server broke a run off and is alive.
     Broke {
         /// The server.
         server: String,
     },
-    /// A server works so many times slower than its kind.
+    /// A server works slower than others of its kind by a factor.
     Slow {
         /// The server.
         server: String,
         /// Factor on the time of its steps, in percent.
         percent: u32,
     },
-    /// How full servers' memory for requests is, and which of them are slow.
+    /// How full the memory for requests is on servers, and which servers are slow.
     Filled {
-        /// Servers and the part that is taken, in percent.
+        /// Servers and the part of their memory that is taken, in percent.
         servers: Vec<(String, u8)>,
         /// All servers that are slow, and the factor on the time of their steps, in percent.
         #[serde(default)]
@@ -53,10 +53,10 @@
     Limit {
         /// The server.
         server: String,
-        /// Thousandths of a request a second.
+        /// Thousandths of a request per second.
         per_s_milli: Option<u64>,
     },
-    /// A router uses much of its part of the retry budget.
+    /// A router uses much of its share of the retry budget.
     Heavy {
         /// When, by its wall clock, in milliseconds of Unix time.
         at_ms: u64,
@@ -69,23 +69,23 @@
         born: u64,
         /// Milliseconds since it ended.
         ago_ms: u64,
-        /// Contents of requests that ran there, and the events of each that had come.
+        /// Contents of requests that ran there, and the number of events received of each.
         runs: Vec<(String, u64)>,
     },
-    /// Requests under which servers had ended got further on others.
+    /// Requests whose former servers ended made progress on others.
     Cleared {
-        /// Their contents.
+        /// Contents of the requests.
         contents: Vec<String>,
-        /// Whether they were refused.
+        /// Whether the requests were refused.
         refused: bool,
     },
-    /// A request is refused, as servers ended under it.
+    /// A request is refused because servers ended while they ran it.
     Refused {
-        /// Its content.
+        /// Content of the request.
         content: String,
         /// Until when, by the wall clock in milliseconds of Unix time.
         until_ms: u64,
-        /// How many servers.
+        /// Number of servers that ended.
         servers: u32,
     },
     /// A server holds layers now.
@@ -100,12 +100,12 @@
 }
 
 impl Notice {
-    /// The record that carries it.
+    /// Encodes the notice as a record.
     pub fn encode(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("plain fields"))
     }
 
-    /// Whether it is written to the store as well, for routers that start when no other one is left.
+    /// Whether the notice is also written to the store, for routers that start when no other one is left.
     pub fn is_durable(&self) -> bool {
         matches!(
             self,
@@ -113,32 +113,33 @@
         )
     }
 
-    /// Reads a record; none if it is of another kind or version.
+    /// Decodes a record; returns none if it is of another kind or version.
     pub fn decode(record: &[u8]) -> Option<Notice> {
         serde_json::from_slice(record).ok()
     }
 }
 
-/// Time for which a notice need not be repeated.
-const SAID: Duration = Duration::from_millis(1500);
+/// Time for which a notice need not be announced again.
+const DUPLICATE_WINDOW: Duration = Duration::from_millis(1500);
 
-/// Whether another router has just said the same.
+/// Whether another router has just announced the same.
 pub fn was_announced(state: &State, notice: &Notice) -> bool {
     match notice {
         Notice::Silent { server } => state
             .peer(server)
-            .is_some_and(|p| p.said.get().is_some_and(|at| state.now() < at + SAID)),
+            .is_some_and(|p| p.said.get().is_some_and(|at| state.now() < at + DUPLICATE_WINDOW)),
         _ => false,
     }
 }
 
-/// Takes over what was said before this process started, the oldest first. How servers work is said anew each second,
-/// and the last word on it and on limits holds; that a server is silent or holds layers may have changed since.
-pub fn catch_up(state: &Rc<State>, said: &[Notice]) {
-    for notice in said {
+/// Replays the notices from before the start of this process, the oldest first. The load of servers is announced again
+/// each second, and the last notice about it and about limits holds; a server that was silent or held layers may have
+/// changed since.
+pub fn replay(state: &Rc<State>, earlier: &[Notice]) {
+    for notice in earlier {
         match notice {
             Notice::Filled { .. } => {
-                // Each names all that are slow at its time.
+                // Each notice names all servers that were slow at its time.
                 state.peers().iter().for_each(|peer| peer.slow.set(1.0));
                 receive(state, notice);
             }
@@ -151,7 +152,7 @@
     }
 }
 
-/// Takes a notice of another router over.
+/// Applies a notice of another router.
 pub fn receive(state: &Rc<State>, notice: &Notice) {
     let now = state.now();
     match notice {
@@ -159,13 +160,13 @@
             if let Some(peer) = state.peer(server) {
                 peer.said.set(Some(now));
             }
-            if let Some(peer) = state.peer(server).filter(|p| silent(p, now)) {
+            if let Some(peer) = state.peer(server).filter(|p| is_report_accepted(p, now)) {
                 peer.fail(now);
                 if state.is_leader.get() {
                     probe::verify(state, &peer);
                 }
                 state.server_suspected.notify_waiters();
-                log::info!("gateway: server={server} suspect=true why=another router says so");
+                log::info!("gateway: server={server} suspect=true why=reported by another router");
             }
         }
         Notice::Declines { server } => {
@@ -222,8 +223,8 @@
     state.changed.notify_waiters();
 }
 
-/// Whether another router's failure is believed. Not while requests of our own run there: they would
-/// notice as soon, and the other router may be the one that is cut off.
-fn silent(peer: &Peer, now: Duration) -> bool {
+/// Whether to accept another router's report that a server is silent. A router with requests of its own on that server
+/// ignores it: it would detect the failure as soon, and the other router may be the one that is cut off.
+fn is_report_accepted(peer: &Peer, now: Duration) -> bool {
     !peer.suspicion.borrow().holds(now) && peer.running.get() == 0
 }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -1,11 +1,13 @@
-//! Which router reads the store for which others.
+//! Decides which router reads the store for which others.
 //!
-//! Load pattern: hundreds of routers that all follow the same logs. If each reads the store, its calls grow with the
-//! routers; if one small VM passes everything on, it is late with that, and all of them read the store at once.
+//! Load pattern: hundreds of routers that all follow the same logs. If each reads the store, the calls grow with the
+//! number of routers. If one small VM forwards everything, its answers are late, and all routers read the store at
+//! once.
 //!
-//! The strongest router reads the store. Among many, the strongest of each data centre asks that one and passes on to
-//! its own data centre, so that no router answers more than a data centre's routers and one for each other data
-//! centre. Everybody works this out from the same list of members, so the next reader is known before one is gone.
+//! The strongest router is the reader. In a large group, the strongest router of each other data centre is its relay:
+//! it polls the reader and forwards to its own data centre. So no router answers more than the routers of one data
+//! centre and one of each other data centre. All routers derive this from the same list of members, so the next reader
+//! is known before one fails.
 
 use std::net::SocketAddr;
 
@@ -14,28 +16,28 @@
 
 use crate::store::Generation;
 
-/// Routers from which on one reads for others. With fewer, the calls saved are not worth another way for settings to
-/// arrive late.
+/// Number of routers from which on one reads for others. With fewer, the saved calls are not worth another path on
+/// which settings may arrive late.
 pub const MIN_SHARING_ROUTERS: usize = 3;
 
-/// Routers up to which all ask the one that reads the store.
+/// Number of routers up to which all poll the reader directly.
 pub const MAX_DIRECT_ROUTERS: usize = 32;
 
-/// A router as the group knows it.
+/// A router as a member of the group.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Name of its VM.
+    /// Name of the VM.
     pub vm: String,
-    /// Where other routers reach it.
+    /// Where other routers reach this one.
     pub address: SocketAddr,
     /// Its data centre.
     pub data_centre: String,
-    /// How many routers its VM can read for.
+    /// Number of routers that the VM can read for.
     pub strength: u32,
 }
 
 impl Member {
-    /// Reads a member's name in the group; what it leaves out counts as unknown, and as no strength.
+    /// Parses a member's name in the group; missing parts count as unknown, and as no strength.
     ///
     /// ```
     /// use gateway::roster::Member;
@@ -62,14 +64,14 @@
     }
 }
 
-/// Where a router gets what the store holds.
+/// Where a router reads the store's records from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// From the store itself.
+    /// The store itself.
     Store,
-    /// From the router that reads the store.
+    /// The reader, which reads the store for others.
     Reader(SocketAddr),
-    /// From the router that passes on to its data centre.
+    /// The relay of its data centre.
     Relay(SocketAddr),
 }
 
@@ -85,7 +87,7 @@
 }
 
 impl Roster {
-    /// The members with these names; names that can't be read are left out.
+    /// Creates a roster of the members with these names; names that can't be parsed are left out.
     pub fn new(generation: Generation, mut names: Vec<String>) -> Roster {
         names.sort_unstable();
         names.dedup();
@@ -94,7 +96,7 @@
         Roster { generation, names, members }
     }
 
-    /// The same after it came from another router.
+    /// Completes a roster that was received from another router.
     pub fn received(self) -> Roster {
         Roster::new(self.generation, self.names)
     }
@@ -104,23 +106,23 @@
         &self.members
     }
 
-    /// The member that keeps what belongs to `key`, without those that `avoid` names. When a member comes or goes,
-    /// only the keys that it keeps get another keeper.
+    /// Returns the member that owns `key`, without those that `avoid` names. When a member joins or leaves, only the
+    /// keys that it owns change their owner.
     ///
     /// ```
     /// use gateway::roster::Roster;
     /// let names = ["one@10.0.0.1:1@a@5", "two@10.0.0.2:1@a@9", "three@10.0.0.3:1@b@9"];
     /// let roster = Roster::new(1, names.map(str::to_owned).to_vec());
-    /// let keeper = roster.owner("key", |_| false).unwrap();
-    /// let next = roster.owner("key", |member| member == keeper).unwrap();
-    /// assert_ne!(keeper, next);
+    /// let owner = roster.owner("key", |_| false).unwrap();
+    /// let next = roster.owner("key", |member| member == owner).unwrap();
+    /// assert_ne!(owner, next);
     /// ```
     pub fn owner(&self, key: &str, avoid: impl Fn(&Member) -> bool) -> Option<&Member> {
         let rank = |member: &&Member| xxh3_64(format!("{}/{key}", member.vm).as_bytes());
         self.members.iter().filter(|member| !avoid(member)).max_by_key(rank)
     }
 
-    /// Where the router `vm` in `data_centre` gets what the store holds, if it passes over those that `avoid` names.
+    /// Returns where the router `vm` in `data_centre` reads from, without the routers that `avoid` names.
     ///
     /// ```
     /// use gateway::roster::{Roster, Source};
@@ -129,7 +131,7 @@
     /// let big = roster.members()[0].address;
     /// assert_eq!(roster.source("big", "a", |_| false), Source::Store);
     /// assert_eq!(roster.source("other", "b", |_| false), Source::Reader(big));
-    /// // Without it, the first of the others reads the store.
+    /// // Without the reader, the first of the others reads the store.
     /// assert_eq!(roster.source("other", "b", |address| address == big), Source::Store);
     /// ```
     pub fn source(
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -8,55 +8,55 @@
 /// Name of one start of a backend server.
 pub type Id = String;
 
-/// Whether a server takes new work.
+/// Whether a server accepts new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// It does.
+    /// It accepts new work.
     Ready,
-    /// It is leaving and must get none.
+    /// It is leaving and must get no new work.
     Draining,
 }
 
-/// An entry of the list.
+/// An entry of the list of servers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Its name.
+    /// Name of the server.
     pub id: Id,
-    /// The service it belongs to.
+    /// The service that it belongs to.
     pub service: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Its data centre.
     pub zone: String,
-    /// Requests it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: State,
     /// How long it stays slow after its start.
     pub cold: Duration,
-    /// When it started, in milliseconds of Unix time; nought if it does not say.
+    /// When it started, in milliseconds of Unix time; zero if that is not known.
     pub born: u64,
-    /// Number of this entry since its start, if it says.
+    /// Number of this entry since its start, if it has one.
     pub sequence: Option<u64>,
-    /// Its accelerator type, where it is a model server.
+    /// Its accelerator type, if it is a model server.
     pub card: Option<String>,
-    /// The layers it holds.
+    /// The layers that it holds.
     pub span: Span,
 }
 
 impl Server {
-    /// Whether another entry says the same. The time it stays slow runs down and is no news.
+    /// Whether another entry has the same content. The time for which a server stays slow runs down and does not count.
     pub fn has_same_content(&self, other: &Server) -> bool {
         let same = Server { cold: other.cold, sequence: other.sequence, ..self.clone() };
         same == *other
     }
 
-    /// Whether both are entries of one start of the server, as far as they say.
+    /// Whether both entries are known to belong to the same start of the server.
     pub fn is_same_start(&self, other: &Server) -> bool {
         self.born == other.born && self.born != 0
     }
 
-    /// Whether the same start of the server wrote this entry before the other one. Not known where either does not say.
+    /// Whether the same start of the server wrote this entry before the other one; false if that is not known.
     ///
     /// ```
     /// # use gateway::server::{Server, State};
@@ -73,29 +73,29 @@
     }
 }
 
-/// What a model server answers when asked for its state.
+/// State of a model server as it reports it on request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Report {
-    /// Orders it has accepted since its start.
+    /// Number of orders that it has accepted since its start.
     pub orders: u64,
-    /// Whether an order is under way.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// The layers it holds.
+    /// The layers that it holds.
     pub span: Span,
     /// Factor on the time of its steps; over 1 it is slower than its kind.
     pub pace: f64,
-    /// Part of its memory for requests that is taken, if it tells.
+    /// Part of its memory for requests that is taken, if it reports that.
     pub filled: Option<f64>,
     /// When it started, in milliseconds of Unix time.
     pub born: u64,
-    /// Requests that wait for a server further on.
+    /// Requests that wait for a server further along their path.
     pub stalled: Vec<Stall>,
 }
 
 /// A request that makes no progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Stall {
-    /// Id of the caller's try.
+    /// Id of the caller's attempt.
     pub request: String,
     /// The server that it waits for.
     pub address: SocketAddr,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -7,27 +7,27 @@
 /// Number of a version. Versions rise in uneven steps.
 pub type Version = u64;
 
-/// What may be repeated.
+/// Whether a request may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     /// May run more than once.
     Safe,
     /// May run once at most.
     Unsafe,
-    /// A stream that another server may go on with after the last event.
+    /// A stream that another server may continue after the last event.
     Resumable,
     /// A stream that may run once at most.
     Stream,
 }
 
 impl Class {
-    /// Whether a request that may have run may be sent again.
+    /// Whether a request that may have run may be retried.
     pub fn is_retryable(self) -> bool {
         matches!(self, Class::Safe | Class::Resumable)
     }
 }
 
-/// Rank of a request, 0 first.
+/// Priority rank of a request; 0 comes first.
 pub type Rank = u8;
 
 /// A service and its share of a route's requests.
@@ -42,47 +42,47 @@
 /// A route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: String,
     /// The host it belongs to, in lower case.
     pub host: String,
-    /// The start of the paths it serves.
+    /// Prefix of the paths it serves.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub class: Class,
-    /// Longest time a caller is kept waiting.
+    /// Longest time that a caller waits.
     pub timeout: Duration,
     /// Time within which an answer, or a stream's first event, is on time.
     pub goal: Duration,
     /// Longest pause between two events that is on time.
     pub gap: Duration,
-    /// Servers one request may be run on.
+    /// Number of servers on which one request may be run.
     pub attempts: u32,
-    /// Whether it needs no key.
+    /// Whether callers need no key.
     pub public: bool,
-    /// Its rank.
+    /// Priority rank of its requests.
     pub rank: Rank,
-    /// Where its requests go.
+    /// The services that its requests go to.
     pub targets: Vec<Target>,
 }
 
-/// How a model service works.
+/// A model and the accelerators that serve it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
-    /// Sizes of the model.
+    /// Dimensions of the model.
     pub shape: Shape,
     /// Accelerator types by name, sorted.
     pub cards: Vec<(String, Card)>,
     /// Mean tokens of a request's context while it runs.
     pub mean_context_tokens: f64,
-    /// Age of what a server tells of its load when it tells that.
+    /// Age that a server's reported load has when it is reported.
     pub report_lag: Duration,
     /// Time to load all layers.
     pub load_time: Duration,
 }
 
 impl Model {
-    /// The accelerator type of that name.
+    /// The accelerator type with that name.
     pub fn card(&self, name: &str) -> Option<Card> {
         let at = self.cards.binary_search_by(|(n, _)| n.as_str().cmp(name)).ok()?;
         Some(self.cards[at].1)
@@ -92,15 +92,15 @@
 /// A service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections one of its servers accepts from all callers together.
+    /// Number of connections that one of its servers accepts from all callers together.
     pub connections: u32,
-    /// How its model is spread, if it has one.
+    /// The model that is distributed over its servers, if it has one.
     pub model: Option<Model>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Limits on what a caller may send, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Bytes of a request's head.
@@ -109,7 +109,7 @@
     pub body: usize,
     /// Time to send a head.
     pub head_time: Duration,
-    /// Time a connection may lie idle.
+    /// Time for which a connection may be idle.
     pub idle: Duration,
 }
 
@@ -120,14 +120,14 @@
     pub key: String,
     /// The workspace that holds it.
     pub workspace: String,
-    /// The workspace's rank, if it has one of its own.
+    /// The workspace's priority rank, if it has its own.
     pub rank: Option<Rank>,
 }
 
 /// One version of the settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Its number.
+    /// Number of the version.
     pub version: Version,
     /// Routes by host, the longest prefix first.
     pub routes: Vec<Route>,
@@ -135,14 +135,14 @@
     pub services: Vec<Service>,
     /// Keys, sorted.
     pub keys: Vec<Key>,
-    /// Whether requests need a key at all.
+    /// Whether requests need a key.
     pub requires_key: bool,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
 }
 
 impl Settings {
-    /// Sorts what is looked up.
+    /// Sorts routes, services and keys for look-ups.
     pub fn sorted(mut self) -> Settings {
         self.routes.sort_by(|a, b| {
             a.host
@@ -155,7 +155,7 @@
         self
     }
 
-    /// The route of a host whose prefix is the longest that begins the path.
+    /// Returns the host's route with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name).to_ascii_lowercase();
         let from = self.routes.partition_point(|r| r.host < host);
@@ -165,13 +165,13 @@
             .find(|r| path.starts_with(&r.prefix))
     }
 
-    /// The service of that name.
+    /// Returns the service with that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         let at = self.services.binary_search_by(|s| s.name.as_str().cmp(name)).ok()?;
         Some(&self.services[at])
     }
 
-    /// The holder of a key.
+    /// Returns the entry of a key.
     pub fn key(&self, key: &str) -> Option<&Key> {
         let at = self.keys.binary_search_by(|k| k.key.as_str().cmp(key)).ok()?;
         Some(&self.keys[at])
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error};
 use ini::Ini;
 
-/// Why the settings can't be used.
+/// Reasons why the settings can't be used.
 #[derive(Debug, Display, Error)]
 #[display("{}", _0.join("; "))]
 pub struct Fault(#[error(not(source))] Vec<String>);
@@ -22,7 +22,7 @@
     pub zone: String,
     /// Where callers connect.
     pub listen: SocketAddr,
-    /// Where the balancer asks whether to send callers.
+    /// Where the load balancer asks whether to send callers.
     pub ready: SocketAddr,
     /// Where metrics are served.
     pub metrics: Option<SocketAddr>,
@@ -34,40 +34,40 @@
     pub store_parts: u32,
     /// Time between a stop signal and the end of the process.
     pub grace: Duration,
-    /// Retries a service may get, as a share of its requests.
+    /// Retries that a service may get, as a share of its requests.
     pub retry_ratio: f64,
-    /// Retries a service may get beside that share in one window, from all routers.
+    /// Retries that a service may get in addition to that share in one window, from all routers.
     pub retry_slack: f64,
     /// Length of that window.
     pub retry_window: Duration,
     /// Memory of the VM, in bytes.
     pub memory: u64,
-    /// Descriptors of the process.
+    /// Number of file descriptors of the process.
     pub descriptors: u32,
-    /// Part of a core that the VM has; none if that is not known.
+    /// Share of a core that the VM has; none if that is not known.
     pub processor: Option<f64>,
     /// Rate of the VM's link in Mbit/s; none if that is not known.
     pub link_mbps: Option<f64>,
-    /// Whether all routers start for the first time, so that no process was here before this one.
+    /// Whether all routers start for the first time, so that this one has no predecessor.
     pub first_start: bool,
 }
 
-/// Processor time that a router takes for each other one that it reads for, as a part of a core.
-const PROCESSOR: f64 = 0.001;
+/// Processor time that a router needs for each other one that it reads for, as a share of a core.
+const CORE_PER_ROUTER: f64 = 0.001;
 
-/// Memory that a router takes for each other one that it reads for, in bytes.
-const MEMORY: u64 = 1 << 20;
+/// Memory that a router needs for each other one that it reads for, in bytes.
+const MEMORY_BYTES_PER_ROUTER: u64 = 1 << 20;
 
 /// Rate at which a router sends to each other one that it reads for, in Mbit/s.
-const LINK: f64 = 0.1;
+const LINK_MBPS_PER_ROUTER: f64 = 0.1;
 
-/// Reads one section and collects every fault in it, so that an operator sees all at once.
-struct Reader<'a> {
+/// Parses values and collects all faults, so that an operator sees them at once.
+struct Parser<'a> {
     file: &'a Ini,
     faults: Vec<String>,
 }
 
-impl Reader<'_> {
+impl Parser<'_> {
     fn get<T: FromStr + Default>(&mut self, section: &str, key: &str, allowed: &str) -> T {
         match self.file.get_from(Some(section), key).map(str::trim) {
             Some(found) => found.parse().unwrap_or_else(|_| {
@@ -82,13 +82,13 @@
         }
     }
 
-    /// A number that may be left out.
-    fn maybe(&mut self, section: &str, key: &str) -> Option<f64> {
+    /// Parses an optional number.
+    fn optional_number(&mut self, section: &str, key: &str) -> Option<f64> {
         let text = self.file.get_from(Some(section), key)?.trim();
         (!text.is_empty()).then(|| self.get::<f64>(section, key, "a number")).map(|n| n.max(0.0))
     }
 
-    /// A flag that may be left out.
+    /// Parses an optional flag.
     fn flag(&mut self, section: &str, key: &str) -> bool {
         let text = self.file.get_from(Some(section), key).map_or("", str::trim);
         !text.is_empty() && self.get(section, key, "true or false")
@@ -104,7 +104,7 @@
 }
 
 impl Setup {
-    /// How many other routers this VM can read the store for.
+    /// Number of other routers that this VM can read the store for.
     ///
     /// ```
     /// # let text = "[process]\nvm=v\ndata-centre=a\nlisten=127.0.0.1:1\nready=127.0.0.1:2\ngrace-s=8\n\
@@ -114,58 +114,58 @@
     /// assert_eq!(small.strength(), 90);
     /// ```
     pub fn strength(&self) -> u32 {
-        let processor = self.processor.unwrap_or_default() / PROCESSOR;
-        let link = self.link_mbps.unwrap_or_default() / LINK;
-        let memory = (self.memory / MEMORY) as f64;
+        let processor = self.processor.unwrap_or_default() / CORE_PER_ROUTER;
+        let link = self.link_mbps.unwrap_or_default() / LINK_MBPS_PER_ROUTER;
+        let memory = (self.memory / MEMORY_BYTES_PER_ROUTER) as f64;
         processor.min(link).min(memory).round() as u32
     }
 
-    /// Reads and checks a file.
+    /// Loads and checks a file.
     pub fn load(path: &Path) -> Result<Setup, Fault> {
         let file = Ini::load_from_file(path)
             .map_err(|e| Fault(vec![format!("{}: {e}", path.display())]))?;
         Setup::read(&file)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and checks the text of a file.
     pub fn parse(text: &str) -> Result<Setup, Fault> {
         let file = Ini::load_from_str(text).map_err(|e| Fault(vec![e.to_string()]))?;
         Setup::read(&file)
     }
 
     fn read(file: &Ini) -> Result<Setup, Fault> {
-        let mut r = Reader { file, faults: Vec::new() };
+        let mut p = Parser { file, faults: Vec::new() };
         let number = "a number";
         let setup = Setup {
-            vm: r.get("process", "vm", "a name"),
-            zone: r.get("process", "data-centre", "a name"),
-            listen: r.address("process", "listen"),
-            ready: r.address("process", "ready"),
+            vm: p.get("process", "vm", "a name"),
+            zone: p.get("process", "data-centre", "a name"),
+            listen: p.address("process", "listen"),
+            ready: p.address("process", "ready"),
             metrics: file
                 .get_from(Some("process"), "metrics")
                 .filter(|text| !text.is_empty())
-                .map(|_| r.address("process", "metrics")),
+                .map(|_| p.address("process", "metrics")),
             inner: file
                 .get_from(Some("process"), "inner")
                 .filter(|text| !text.is_empty())
-                .map(|_| r.address("process", "inner")),
-            store: r.address("store", "address"),
-            store_parts: r.get("store", "parts", "a whole number"),
-            grace: Duration::from_secs_f64(r.get::<f64>("process", "grace-s", number).max(0.0)),
-            retry_ratio: r.get("retries", "ratio", number),
-            retry_slack: r.get("retries", "slack", number),
+                .map(|_| p.address("process", "inner")),
+            store: p.address("store", "address"),
+            store_parts: p.get("store", "parts", "a whole number"),
+            grace: Duration::from_secs_f64(p.get::<f64>("process", "grace-s", number).max(0.0)),
+            retry_ratio: p.get("retries", "ratio", number),
+            retry_slack: p.get("retries", "slack", number),
             retry_window: Duration::from_secs_f64(
-                r.get::<f64>("retries", "window-s", number).max(0.0),
+                p.get::<f64>("retries", "window-s", number).max(0.0),
             ),
-            memory: r.get::<u64>("process", "memory-mb", "a whole number") << 20,
-            descriptors: r.get("process", "descriptors", "a whole number"),
-            processor: r.maybe("process", "processor"),
-            link_mbps: r.maybe("process", "link-mbps"),
-            first_start: r.flag("process", "first-start"),
+            memory: p.get::<u64>("process", "memory-mb", "a whole number") << 20,
+            descriptors: p.get("process", "descriptors", "a whole number"),
+            processor: p.optional_number("process", "processor"),
+            link_mbps: p.optional_number("process", "link-mbps"),
+            first_start: p.flag("process", "first-start"),
         };
-        match r.faults.is_empty() {
+        match p.faults.is_empty() {
             true => Ok(setup),
-            false => Err(Fault(r.faults)),
+            false => Err(Fault(p.faults)),
         }
     }
 }
--- a/crates/gateway/src/shared_read/availability.rs
+++ b/crates/gateway/src/shared_read/availability.rs
@@ -49,7 +49,7 @@
 }
 
 /// Whether the store failed to answer this router since then. If not, it was unavailable only for the router that
-/// reported it, and entries that are gone have not lapsed.
+/// reported it, and entries that are gone have not expired.
 pub fn was_store_silent_since(state: &State, since: Duration) -> bool {
     state.sharing.store_silent_at.get().is_some_and(|at| at >= since)
 }
--- a/crates/gateway/src/shared_read/view.rs
+++ b/crates/gateway/src/shared_read/view.rs
@@ -44,7 +44,7 @@
 /// Records that the list of servers was read up to the offset `end`.
 pub fn record_list(state: &State, end: Offset) {
     let peers = state.peers();
-    // The entry of a lapsed server is gone, here and at routers that have dropped it.
+    // The entry of a expired server is gone, here and at routers that have dropped it.
     let listed = peers.iter().filter(|peer| !peer.lapsed());
     let digest = listed.map(|peer| peer.digest()).fold(0, Digest::wrapping_add);
     state.sharing.view.set(Some(View { end, digest }));
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What one router believes and shares among its tasks, all of which run on one thread.
+//! State of one router that its tasks share, all of which run on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -30,30 +30,30 @@
 use crate::store::{Client, Log};
 use crate::wire::Codec;
 
-/// Time for which a router that left the group is still counted. One that is only cut off from the
-/// store goes on sending repeats, out of its part of the common budget.
-const REMEMBERED: Duration = Duration::from_secs(30);
+/// Time for which a router that left the group is still counted. One that is only cut off from the store continues to
+/// send retries, from its share of the common budget.
+const DEPARTED_ROUTER_TIME: Duration = Duration::from_secs(30);
 
-/// Time for which the last entry of a server that was removed is remembered. A store that is restored from an older copy
-/// lists it again, until the entry lapses there.
-const GONE: Duration = Duration::from_secs(60);
+/// Time for which the last entry of a removed server is kept. A store that is restored from an older copy lists it
+/// again, until the entry expires there.
+const REMOVED_ENTRY_RETENTION: Duration = Duration::from_secs(60);
 
-/// Routers that are assumed until the group of routers has answered. High, so that a router that
-/// has just started does not use a larger part of the common retry budget than is its own.
-pub const ROUTERS: u32 = 16;
+/// Number of routers that is assumed until the group has answered. High, so that a router that has just started does
+/// not use more than its share of the common retry budget.
+pub const DEFAULT_ROUTERS: u32 = 16;
 
-/// How long a stream is taken to last until one has ended.
-const LASTING: Duration = Duration::from_millis(1500);
+/// Assumed duration of a stream until one has ended.
+const DEFAULT_STREAM_DURATION: Duration = Duration::from_millis(1500);
 
-/// Weight of the newest stream in the mean time that they last.
-const NEWEST: f64 = 0.05;
+/// Weight of the newest stream in the mean duration of streams.
+const NEWEST_STREAM_WEIGHT: f64 = 0.05;
 
-/// The beliefs of one router.
+/// State of one router.
 #[derive(Debug)]
 pub struct State {
     /// Settings of the process.
     pub setup: Setup,
-    /// How the platform spells things.
+    /// Names and formats of the platform.
     pub codec: Codec,
     /// The store.
     pub store: Client,
@@ -67,69 +67,69 @@
     routers: RefCell<Crowd>,
     /// Whether the list of servers was read once.
     pub servers_read: Cell<bool>,
-    /// When the process was told to stop.
+    /// When the process was asked to stop.
     pub stopping: Cell<Option<Duration>>,
-    /// Callers' connections that are open.
+    /// Callers' open connections.
     pub callers: Cell<u32>,
     /// Requests that are being served.
     pub serving: Cell<u32>,
-    /// How many requests to models found no place lately.
+    /// Requests to models that found no free server lately.
     pub shortage: RefCell<Shortage>,
     /// For how long some part of a model has been missing.
     pub missing: RefCell<Missing>,
-    /// New requests that wait until a server has a place for them.
+    /// New requests that wait until a server has a slot for them.
     pub unplaced_requests: Cell<u32>,
-    /// Bytes of request bodies held.
+    /// Bytes of request bodies in memory.
     pub body_bytes: Cell<usize>,
     /// Woken when servers or settings change.
     pub changed: Notify,
     /// Woken when a server is suspected.
     pub server_suspected: Notify,
-    /// What this router sent over the links between data centres, by the pair of them.
+    /// Traffic that this router sent over the links between data centres, by pair of data centres.
     pub links: RefCell<Vec<((Zone, Zone), Meter)>>,
-    /// Requests that wanted to cross a link between data centres, by the pair of them.
+    /// Requests that had to cross a link between data centres, by pair of data centres.
     pub crossings: RefCell<Vec<((Zone, Zone), Demand)>>,
-    /// How long streams last.
+    /// Mean duration of streams.
     pub stream_duration: Cell<Duration>,
     /// By how much timers are late in this process.
     pub lag: Cell<Duration>,
-    /// The log whose reader asks again whether the store answers, while it does not.
-    asker: Cell<Option<Log>>,
-    /// When the store last answered again after it had not.
+    /// The log whose task probes whether the store has returned, while it is unavailable.
+    probing_log: Cell<Option<Log>>,
+    /// When the store last answered again after it was unavailable.
     regained: Cell<Duration>,
     /// Woken when the store answers again.
     pub store_returned: Notify,
-    /// Last line that was logged of the layers that data centres lack.
+    /// Last logged line about the layers that data centres lack.
     pub placement: RefCell<String>,
-    /// Since when some data centre lacks layers, as the router sees it that gives orders.
+    /// Since when some data centre lacks layers, as the leader sees it.
     pub layers_missing_since: Cell<Option<Duration>>,
-    /// Whether this router gives orders.
+    /// Whether this router is the leader, which issues orders.
     pub is_leader: Cell<bool>,
-    /// How it gets on with the first seat, while it holds it.
+    /// Successes and failures of this router as the holder of the first partition.
     pub tenure: RefCell<Tenure>,
-    /// What it knows of the routers that read the store for others.
+    /// State of the shared reads of the store.
     pub sharing: Sharing,
-    /// What it knows of requests that end servers.
+    /// Requests during which servers ended.
     pub crashes: Crashes,
-    /// What it keeps for servers that name limits.
+    /// Ledgers that this router owns for servers that name limits.
     pub ledgers: Keeper,
-    /// Repeats that it borrowed from others.
+    /// Retries that this router borrowed from others.
     pub retries: Repeats,
     /// Connections to other routers.
     pub neighbours: Neighbours,
-    /// Lines about refused requests.
+    /// Log lines about refused requests.
     pub refusal_lines: RefCell<Quota>,
-    /// Lines about broken runs.
+    /// Log lines about broken runs.
     pub broken_run_lines: RefCell<Quota>,
-    /// Notices for the other routers that are still to be written.
+    /// Notices for the other routers that are still to be sent.
     pub notices: RefCell<Vec<crate::notice::Notice>>,
-    /// Woken when there are notices to write.
+    /// Woken when there are notices to send.
     pub notices_queued: Notify,
     start: Instant,
 }
 
 impl State {
-    /// A router that knows nothing yet.
+    /// Creates the state of a router that has just started.
     pub fn new(setup: Setup, codec: Codec, store: Client, metrics: Metrics) -> Rc<State> {
         Rc::new(State {
             setup,
@@ -140,7 +140,7 @@
             peers: RefCell::default(),
             removed: RefCell::default(),
             budgets: RefCell::default(),
-            routers: RefCell::new(Crowd::new(ROUTERS, REMEMBERED)),
+            routers: RefCell::new(Crowd::new(DEFAULT_ROUTERS, DEPARTED_ROUTER_TIME)),
             servers_read: Cell::new(false),
             stopping: Cell::new(None),
             callers: Cell::new(0),
@@ -153,9 +153,9 @@
             server_suspected: Notify::new(),
             links: RefCell::default(),
             crossings: RefCell::default(),
-            stream_duration: Cell::new(LASTING),
+            stream_duration: Cell::new(DEFAULT_STREAM_DURATION),
             lag: Cell::default(),
-            asker: Cell::new(None),
+            probing_log: Cell::new(None),
             regained: Cell::default(),
             store_returned: Notify::new(),
             placement: RefCell::default(),
@@ -185,8 +185,8 @@
         self.settings.borrow().clone()
     }
 
-    /// Puts settings in force, if they are newer. A process never goes back to older ones: a
-    /// caller that saw a change would see it undone.
+    /// Puts settings in force, if they are newer. A process never returns to older ones: a caller that saw a change
+    /// would see it undone.
     pub fn apply(&self, settings: Settings) -> bool {
         let newer = self.settings.borrow().as_ref().is_none_or(|s| s.version < settings.version);
         if newer {
@@ -198,32 +198,32 @@
 
     /// Whether the store did not answer the last read.
     pub fn store_unavailable(&self) -> bool {
-        self.asker.get().is_some()
+        self.probing_log.get().is_some()
     }
 
-    /// Notes that the store answered.
+    /// Records that the store answered.
     pub fn record_store_answer(&self) {
-        if self.asker.take().is_some() {
+        if self.probing_log.take().is_some() {
             self.regained.set(self.now());
             self.store_returned.notify_waiters();
         }
     }
 
-    /// When the store last answered again after it had not.
+    /// When the store last answered again after it was unavailable.
     pub fn store_regained_at(&self) -> Duration {
         self.regained.get()
     }
 
-    /// Notes that a read of a log failed; whether its reader is the one to ask again soon. Tens of routers
-    /// that each ask for each log make hundreds of calls a second to a store that answers none,
-    /// and a store that comes back is met by all of them; one call tells as much.
+    /// Records that a read of a log failed; returns whether its task is the one to retry soon. If tens of routers each
+    /// retried for each log, they would send hundreds of calls a second to a store that answers none, and all of them
+    /// would meet a store that returns. One call shows as much.
     pub fn record_store_failure(&self, log: Log) -> bool {
-        let asker = self.asker.get().unwrap_or(log);
-        self.asker.set(Some(asker));
-        asker == log
+        let probing_log = self.probing_log.get().unwrap_or(log);
+        self.probing_log.set(Some(probing_log));
+        probing_log == log
     }
 
-    /// Name in the group of routers, which tells the others where to reach this one and what its VM can do.
+    /// Name of this router in the group, which says where the others reach it and what its VM can do.
     pub fn member(&self) -> String {
         match self.setup.inner {
             Some(address) => Member {
@@ -253,7 +253,7 @@
         peers.iter().filter(|p| p.server().service == service).cloned().collect()
     }
 
-    /// The server of that id.
+    /// The server with that id.
     pub fn peer(&self, id: &str) -> Option<Rc<Peer>> {
         let peers = self.peers.borrow();
         let at = peers.binary_search_by(|p| p.server().id.as_str().cmp(id)).ok()?;
@@ -273,15 +273,15 @@
         peers.insert(at, Rc::new(peer));
     }
 
-    /// Removes a server.
+    /// Removes a server and keeps its last entry for a while.
     pub fn remove(&self, id: &Id) {
         let (now, mut gone) = (self.now(), self.removed.borrow_mut());
-        gone.retain(|(server, at)| now < *at + GONE && server.id != *id);
+        gone.retain(|(server, at)| now < *at + REMOVED_ENTRY_RETENTION && server.id != *id);
         gone.extend(self.peer(id).map(|peer| (peer.server(), now)));
         self.peers.borrow_mut().retain(|p| p.server().id != *id);
     }
 
-    /// The last entry of a server that was removed lately, if it is of the same start.
+    /// The last entry of a server that was removed lately, if it belongs to the same start.
     pub fn removed(&self, server: &Server) -> Option<Rc<Server>> {
         let gone = self.removed.borrow();
         let same = |gone: &Server| gone.id == server.id && gone.is_same_start(server);
@@ -295,7 +295,7 @@
         ago.filter(|(_, ago)| *ago < time).collect()
     }
 
-    /// Works on the retry budget of a service.
+    /// Runs `work` on the retry budget of a service.
     pub fn budget<T>(&self, service: &str, work: impl FnOnce(&mut Budget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         let at = match budgets.binary_search_by(|(name, _)| name.as_str().cmp(service)) {
@@ -319,7 +319,7 @@
         work(budget)
     }
 
-    /// Ends the use of all retry budgets; what counts of each for the next process, if that is known.
+    /// Closes all retry budgets; returns what counts of each for the next process, if that is known.
     pub fn close_budgets(&self) -> Option<Vec<(String, Handover)>> {
         let (now, before) = (self.now(), repeats::before(self));
         let mut closed = Vec::new();
@@ -330,35 +330,37 @@
         before.is_known(now, self.setup.retry_window).then_some(closed)
     }
 
-    /// Notes how many routers the group has now.
+    /// Records how many routers the group has now.
     pub fn count_routers(&self, routers: u32) {
         self.routers.borrow_mut().note(self.now(), routers);
     }
 
-    /// Routers that share the retry budget.
+    /// Number of routers that share the retry budget.
     pub fn routers(&self) -> u32 {
         let members = self.sharing.rank().map_or(0, |(_, routers)| routers);
         self.routers.borrow().most(self.now()).max(members)
     }
 
-    /// Repeats of a service that this router may still send now.
+    /// Retries of a service that this router may still send now.
     pub fn retries_left(&self, service: &str) -> u32 {
         let (now, routers) = (self.now(), self.routers());
         self.budget(service, |budget| budget.left(now, routers))
     }
 
-    /// Notes how long a stream took that was delivered to its end.
+    /// Records the duration of a stream that was delivered to its end.
     pub fn record_stream_duration(&self, took: Duration) {
-        self.stream_duration
-            .set(self.stream_duration.get().mul_f64(1.0 - NEWEST) + took.mul_f64(NEWEST));
+        self.stream_duration.set(
+            self.stream_duration.get().mul_f64(1.0 - NEWEST_STREAM_WEIGHT)
+                + took.mul_f64(NEWEST_STREAM_WEIGHT),
+        );
     }
 
-    /// Passes a notice on to the other routers.
-    pub fn announce(&self, word: crate::notice::Notice) {
+    /// Queues a notice to the other routers.
+    pub fn announce(&self, notice: crate::notice::Notice) {
         let mut notices = self.notices.borrow_mut();
-        // The store may be away; older notices are worth nothing then.
+        // While the store is unavailable, older notices lose their use.
         if notices.len() < 64 {
-            notices.push(word);
+            notices.push(notice);
         }
         self.notices_queued.notify_one();
     }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -69,30 +69,30 @@
     assert_eq!(setup.metrics, None);
 }
 
-/// All that is wrong is said at once, with its place and what is allowed.
+/// All faults are reported at once, with their place and what is allowed.
 #[test]
 fn bad_setup() {
     let bad = GOOD
         .replace("127.0.0.1:1", "nowhere")
         .replace("ratio=0.2\n", "")
         .replace("slack=196", "slack=many");
-    let said = Setup::parse(&bad).unwrap_err().to_string();
+    let faults = Setup::parse(&bad).unwrap_err().to_string();
     for part in [
         "[process] listen: found `nowhere`",
         "[retries] ratio: missing",
         "[retries] slack: found `many`",
     ] {
-        assert!(said.contains(part), "{said}");
+        assert!(faults.contains(part), "{faults}");
     }
 }
 
-/// Nobody reads standard output any more. Requests must not wait for log lines: the queue fills, further
-/// lines are left out, and a later line says how many.
+/// Nobody reads standard output any more. Requests must not wait for log lines: the queue fills, further lines are
+/// dropped, and a later line reports how many.
 #[test]
 fn log_lines_are_left_out_when_nobody_reads() {
     let (mut lines, receiver, counts) = Lines::new(4);
     for i in 0..10 {
-        // In pieces, as the logger writes.
+        // In several writes, as the logger does it.
         write!(lines, "line {i}").unwrap();
         writeln!(lines).unwrap();
     }
@@ -106,7 +106,7 @@
     assert!(text.ends_with("line 3\n"));
 }
 
-/// A reader that went away must not end the process.
+/// An output that was closed must not end the process.
 #[test]
 fn a_closed_output_is_survived() {
     struct Closed;
--- a/crates/gateway/tests/store.rs
+++ b/crates/gateway/tests/store.rs
@@ -1,9 +1,9 @@
-//! What the store answers, and what the client makes of it.
+//! Handling of the store's answers by the client.
 
 use gateway::store::{Answer, Call, Client, End, Era, Fault, Log, Reply, ReportedEra};
 use rstest::rstest;
 
-/// A store that takes each append and names one era after the other.
+/// Returns a client of a store that accepts each append and reports the given eras one after the other.
 fn client(eras: &'static [Era]) -> Client {
     let answers = std::cell::Cell::new(0);
     Client::new(move |_| {
@@ -16,7 +16,8 @@
     Call::Append { log: Log::Orders, records: vec!["record".into()], at }
 }
 
-/// An answer to an earlier append is taken for that to the last one, and what is written nowhere counts as written.
+/// Guards against taking the answer to an earlier append for that to the last one, so that a record that was never
+/// written counts as written.
 #[test]
 fn an_append_with_the_answer_of_another_one_does_not_count() {
     let runtime = tokio::runtime::Builder::new_current_thread().build().unwrap();
@@ -29,7 +30,8 @@
     });
 }
 
-/// The log of a restored store happens to end where a call says, and the call counts as if nothing had been lost.
+/// Guards against counting an append to a restored store: its log may happen to end where the call says, although
+/// records were lost.
 #[rstest]
 #[case::same_era(&[1, 1], 1, Ok(Reply::Appended(8)))]
 #[case::restored_meanwhile(&[1, 2], 1, Err(Fault::Stale))]
