--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -102,7 +102,7 @@
     let now = state.now();
     for peer in state.peers().iter().filter(|p| p.expired(now)) {
         let id = peer.server().id.clone();
-        log::info!("gateway: server={id} gone=true why=its entry did not come back");
+        log::info!("gateway: server={id} gone=true why=its entry was not written again");
         state.remove(&id);
     }
 }
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -70,8 +70,8 @@
     let lasting = gap_duration(state, &gaps) > RESTART_TIME;
     let places = placement::plan(&servers, &model.shape, lasting);
     let age = |server: Index| now.saturating_sub(peers[server].since());
-    let lost = |zone: Zone| recent_losses(state, peers, zone);
-    let places = placement::keep_started(places, &servers, &model.shape, age, lost);
+    let losses = |zone: Zone| recent_losses(state, peers, zone);
+    let places = placement::keep_started(places, &servers, &model.shape, age, losses);
     let planned = |place: &Place| Planned {
         server: peers[place.server].server().id.clone(),
         span: place.span,
--- a/crates/gateway/src/shared_read/forward.rs
+++ b/crates/gateway/src/shared_read/forward.rs
@@ -42,7 +42,7 @@
     is_new
 }
 
-/// Sends a notice to the other routers by way of the source and the routers downstream; returns false if the group is
+/// Sends a notice to the other routers through the source and the routers downstream; returns false if the group is
 /// too small for that.
 pub fn publish(state: &State, notice: &Notice) -> bool {
     if state.sharing.members() < MIN_SHARING_ROUTERS || state.setup.inner.is_none() {
--- a/crates/gateway/src/shared_read/members.rs
+++ b/crates/gateway/src/shared_read/members.rs
@@ -23,13 +23,13 @@
         return;
     }
     let changed = joined > sharing.generation();
-    let lost = sharing.last_answer.get().is_none_or(|at| at + SOURCE_LOSS_TIME < now)
+    let source_lost = sharing.last_answer.get().is_none_or(|at| at + SOURCE_LOSS_TIME < now)
         && !sharing.store_unavailable.get();
     let few = sharing.members() < MIN_SHARING_ROUTERS;
     let due = match sharing.members_read_at.get() {
         None => true,
         Some(at) if changed && (few || is_reader(state)) => at + MIN_READ_INTERVAL < now,
-        Some(at) => changed && lost && at + SOURCE_LOSS_TIME < now,
+        Some(at) => changed && source_lost && at + SOURCE_LOSS_TIME < now,
     };
     if !due {
         return;
--- a/crates/gateway/src/shared_read/page.rs
+++ b/crates/gateway/src/shared_read/page.rs
@@ -61,13 +61,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Fault {
     /// It can't be decoded.
-    #[display("its answer can't be read: {_0}")]
+    #[display("its answer can't be decoded: {_0}")]
     Unreadable(#[error(not(source))] String),
     /// It has the version of another release.
     #[display("its answer has version {_0}")]
     Version(#[error(not(source))] u16),
     /// It holds records that were not requested, or not in order.
-    #[display("its answer does not follow on what is known")]
+    #[display("its answer holds records that were not requested or are out of order")]
     Discontinuous,
 }
 
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -242,7 +242,7 @@
     fn check_era(&self, era: Era) -> Result<(), Fault> {
         let known = self.era.get();
         if era < known {
-            self.reject_era("is older than the one known");
+            self.reject_era("is lower than the known one");
             let since = self.lower_since.get().unwrap_or_else(Instant::now);
             self.lower_since.set(Some(since));
             if since.elapsed() < LOWER_ERA_REJECTION {
--- a/crates/gateway/src/store/fault.rs
+++ b/crates/gateway/src/store/fault.rs
@@ -16,10 +16,10 @@
         why: String,
     },
     /// The source reports that the store does not answer; no call was sent.
-    #[display("the router that reads the store has no answer")]
+    #[display("the source reports that the store does not answer")]
     SourceCutOff,
     /// The store refused the call; nothing was done.
-    #[display("the store turned the call away with status {_0}")]
+    #[display("the store refused the call with status {_0}")]
     Refused(#[error(not(source))] u16),
     /// The requested records were deleted.
     #[display("the records asked for were deleted")]
@@ -31,7 +31,7 @@
         end: Option<Offset>,
     },
     /// The call or its answer is from before the store was restored.
-    #[display("the store was restored meanwhile, or the answer is of an older era")]
+    #[display("the store was restored meanwhile, or the answer is from a lower era")]
     Stale,
     /// The answer can't be read.
     #[display("unreadable answer of the store: {_0}")]
