--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -1,4 +1,4 @@
-//! One backend server as this router knows it.
+//! What this router knows of one backend server, and its load there.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -19,34 +19,34 @@
 use crate::shared_read::{self, Digest};
 use crate::store::Offset;
 
-/// How long a notice of layers that were just loaded goes before the server's own entry, which is
-/// written every heartbeat and read every second.
+/// Time for which layers that were reported as loaded take precedence over the server's own entry, which is written
+/// every heartbeat and read every second.
 const RECORDED_SPAN_VALIDITY: Duration = Duration::from_millis(3500);
 
-/// Which entry of a server is known.
+/// Position and age of the known entry of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Entry {
     /// Its offset in the list.
     pub offset: Offset,
-    /// When this router heard of it.
+    /// When this router received it.
     pub received: Duration,
 }
 
-/// What came of a question whether a server lives.
+/// Result of a probe whether a server is alive.
 #[derive(Debug, Clone, Copy)]
 pub struct Probe {
-    /// When it was answered or given up.
+    /// When it was answered or timed out.
     pub at: Duration,
-    /// Time that the server got to answer.
+    /// Time-out of the probe.
     pub limit: Duration,
-    /// When the start of the server that answered began, nought if it does not say; none if nothing answered.
+    /// Start time that the server reported, 0 if it reports none; `None` if there was no answer.
     pub start: Option<u64>,
 }
 
-/// What came of looking whether a silent server is gone.
+/// Result of a check whether a silent server has ended or is cut off.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Reachability {
-    /// When that was known.
+    /// When the check completed.
     pub at: Duration,
     /// Whether it has ended or is cut off.
     pub gone: bool,
@@ -58,21 +58,21 @@
     server: RefCell<Rc<Server>>,
     entry: Cell<Entry>,
     digest: Cell<Digest>,
-    /// When this router first heard of this start of it.
+    /// When this router first received an entry of this start of the server.
     first_seen: Cell<Duration>,
     /// Connections to it.
     pub pool: Pool,
-    /// Whether it answers.
+    /// Whether it is suspected because it did not answer.
     pub suspicion: RefCell<Suspicion>,
-    /// Whether it declines requests: it is leaving, or out of memory.
+    /// Whether it has declined requests lately, as it is draining or out of memory.
     pub declines: RefCell<Suspicion>,
-    /// Runs that it broke off while it lived.
+    /// Runs that it broke although it was alive.
     pub breaks: Cell<Tally>,
-    /// Requests of all routers that ran or waited there, as it last told, and when.
+    /// Requests of all routers that ran or waited there according to its last report, and when that was received.
     pub reported_load: Cell<Option<(u32, Duration)>>,
     /// Times of its answers.
     pub pace: Cell<Pace>,
-    /// The limit that it names for all routers together.
+    /// Limit on the requests of all routers together that it announces.
     pub limited: Limited,
     /// Requests that this router sent there lately.
     pub sent: RefCell<Sent>,
@@ -80,35 +80,34 @@
     pub running: Cell<u32>,
     /// Bytes of context that requests of this router take there.
     pub context: Cell<f64>,
-    /// Bytes of context of requests that this router lately began there.
+    /// Bytes of context of requests that this router lately sent there.
     pub sent_context: RefCell<fill::Sent>,
-    /// Prompts that this router sent there and that are not read yet.
+    /// Prompts that this router sent there and whose prefill is not done yet.
     pub prefill_backlog: Cell<Meter>,
-    /// Factor on the time of its steps, as it reports.
+    /// Factor by which its steps are slower than usual, as it reports.
     pub slowdown: Cell<f64>,
-    /// Part of its memory for requests that was taken when it was last asked, and when that was heard.
+    /// Fraction of its memory for requests that was in use according to its last report, and when that was received.
     pub filled: Cell<Option<(f64, Duration)>>,
-    /// What came when it was last asked whether it lives. Held while it is asked, so that all who want to know wait for
-    /// one answer.
+    /// Result of the last probe. Locked during a probe, so that all tasks that need the result wait for one answer.
     pub last_probe: Mutex<Probe>,
-    /// Whether it was gone when that was last looked into. Held meanwhile.
+    /// Result of the last check whether it has ended or is cut off. Locked during the check.
     pub reachability: Mutex<Reachability>,
-    /// When it last broke a run off though it lived, at any router.
+    /// When it last broke a run of any router although it was alive.
     pub last_break: Cell<Option<Duration>>,
     /// When an event last came along a path through it.
     pub last_event_at: Cell<Duration>,
-    /// When another router last said that it does not answer.
+    /// When another router last reported that it does not answer.
     pub reported_silent: Cell<Option<Duration>>,
-    /// Whether it is being asked if that is so.
+    /// Whether this router is verifying such a report.
     pub verifying: Cell<bool>,
-    /// Requests that it last reported to wait for a server further on.
+    /// Requests that wait for a later server of their path, according to its last report.
     pub stalled: RefCell<Vec<Stall>>,
-    fresh: Cell<Option<(Span, Duration)>>,
+    recorded_span: Cell<Option<(Span, Duration)>>,
     grace_end: Cell<Option<Duration>>,
 }
 
 impl Peer {
-    /// A server that has just appeared on the list.
+    /// Creates a server that has just appeared on the list.
     pub fn new(server: Server, entry: Entry) -> Peer {
         Peer {
             pool: Pool::new(server.address),
@@ -140,40 +139,40 @@
             reported_silent: Cell::new(None),
             verifying: Cell::new(false),
             stalled: RefCell::default(),
-            fresh: Cell::new(None),
+            recorded_span: Cell::new(None),
             grace_end: Cell::new(None),
         }
     }
 
-    /// Its entry.
+    /// Returns its entry on the list.
     pub fn server(&self) -> Rc<Server> {
         self.server.borrow().clone()
     }
 
-    /// Which entry that is.
+    /// Returns the position and age of that entry.
     pub fn entry(&self) -> Entry {
         self.entry.get()
     }
 
-    /// When this router first heard of this start of it.
+    /// Returns when this router first received an entry of this start of the server.
     pub fn first_seen(&self) -> Duration {
         self.first_seen.get()
     }
 
-    /// Digest of its entry.
+    /// Returns the digest of its entry.
     pub fn digest(&self) -> Digest {
         self.digest.get()
     }
 
-    /// Takes a new entry over.
+    /// Replaces its entry by a newer one.
     pub fn update(&self, server: Server, entry: Entry) {
         self.grace_end.set(None);
         self.entry.set(entry);
         self.digest.set(shared_read::digest(&server));
         if self.server.borrow().born != server.born {
-            // A new start holds nothing of before.
+            // The state of the previous start does not apply to a new one.
             self.first_seen.set(entry.received);
-            self.fresh.set(None);
+            self.recorded_span.set(None);
             self.suspicion.borrow_mut().clear();
             self.slowdown.set(1.0);
             self.filled.set(None);
@@ -184,48 +183,48 @@
         *self.server.borrow_mut() = Rc::new(server);
     }
 
-    /// The layers it holds.
+    /// Returns the layers that it holds.
     pub fn span(&self, now: Duration) -> Span {
-        match self.fresh.get() {
+        match self.recorded_span.get() {
             Some((span, at)) if now < at + RECORDED_SPAN_VALIDITY => span,
             _ => self.server.borrow().span,
         }
     }
 
-    /// Takes over what it is known to hold that is newer than its entry.
+    /// Records layers that it holds according to information newer than its entry.
     pub fn record_span(&self, span: Span, now: Duration) {
-        self.fresh.set(Some((span, now)));
+        self.recorded_span.set(Some((span, now)));
     }
 
-    /// Notes that its entry is gone though it may live; it counts as gone at `until`.
+    /// Records that its entry has expired although it may be alive; it is treated as gone from `until` on.
     pub fn expire(&self, until: Duration) {
         if self.grace_end.get().is_none() {
             self.grace_end.set(Some(until));
         }
     }
 
-    /// Whether its entry is gone though it may live.
+    /// Whether its entry has expired although it may be alive.
     pub fn is_expired(&self) -> bool {
         self.grace_end.get().is_some()
     }
 
-    /// Whether its entry lapsed and has not come back in time.
+    /// Whether its entry expired and was not renewed within the grace period.
     pub fn is_grace_over(&self, now: Duration) -> bool {
         self.grace_end.get().is_some_and(|until| until <= now)
     }
 
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub fn ready(&self) -> bool {
         self.server.borrow().state == State::Ready
     }
 
-    /// Whether it takes new work and is not suspected.
+    /// Whether it takes new requests and is not suspected.
     pub fn usable(&self, now: Duration) -> bool {
         self.ready() && !self.suspicion.borrow().holds(now)
     }
 
-    /// Whether it counts as dead where layers are placed: it did not answer, and has not answered since. The word of another
-    /// router counts once the server was asked here as well.
+    /// Whether the placement of layers treats it as dead: it failed to answer, and has not answered since. A report of
+    /// another router counts only after this router has probed the server itself.
     pub fn counts_as_dead(&self) -> bool {
         self.suspicion.borrow().open() && !self.verifying.get()
     }
@@ -235,14 +234,15 @@
         self.usable(now) && !self.declines.borrow().holds(now)
     }
 
-    /// Notes that it did not answer; true if that was not known.
+    /// Records that it did not answer; true if it was not suspected before.
     pub fn record_failure(&self, now: Duration) -> bool {
-        let fresh = !self.suspicion.borrow().holds(now);
+        let newly_suspected = !self.suspicion.borrow().holds(now);
         self.suspicion.borrow_mut().fail(now);
-        fresh
+        newly_suspected
     }
 
-    /// Notes that it broke a run off though it lives; whether that is new reason to pass over it.
+    /// Counts a run of this router that it broke although it is alive; true if it is avoided from now on and was not
+    /// before.
     pub fn count_break(&self, now: Duration) -> bool {
         let mut breaks = self.breaks.get();
         let passed_over = breaks.broke(now) && !self.declines.borrow().holds(now);
@@ -253,25 +253,25 @@
         passed_over
     }
 
-    /// Notes that it broke a run off at some router; whether that is news.
+    /// Records that it broke a run of any router; true if the other routers need to be notified.
     pub fn record_break(&self, now: Duration) -> bool {
         let known = self.last_break.replace(Some(now));
         known.is_none_or(|at| now >= at + breaks::TOLD)
     }
 
-    /// Whether it broke a run off a moment ago.
+    /// Whether it has just broken a run of any router.
     pub fn broke_recently(&self, now: Duration) -> bool {
         self.last_break.get().is_some_and(|at| now < at + breaks::AVOIDED)
     }
 
-    /// Notes that a run went on there.
+    /// Counts a run that continued there, which offsets a broken one.
     pub fn count_continued(&self) {
         let mut breaks = self.breaks.get();
         breaks.went_on();
         self.breaks.set(breaks);
     }
 
-    /// Notes an answer after `took`.
+    /// Records an answer that took `took`.
     pub fn record_answer(&self, took: Duration) {
         self.suspicion.borrow_mut().clear();
         let mut pace = self.pace.get();
@@ -280,7 +280,7 @@
     }
 }
 
-/// Work of one request at one server, given back when dropped.
+/// Load of one request at one server, released when dropped.
 #[derive(Debug)]
 pub struct Load {
     peer: Rc<Peer>,
@@ -288,7 +288,7 @@
 }
 
 impl Load {
-    /// Counts a request with `bytes` of context.
+    /// Adds a request with `bytes` of context.
     pub fn new(peer: Rc<Peer>, bytes: f64) -> Load {
         peer.running.set(peer.running.get() + 1);
         peer.context.set(peer.context.get() + bytes);
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -1,4 +1,4 @@
-//! Questions to model servers: whether they live, what they hold, how fast they are.
+//! Probes and commands to model servers: whether they are alive, which layers they hold, how fast they are.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,45 +18,45 @@
 use crate::state::State;
 use crate::wire::Command;
 
-/// Time a server gets to answer a probe. A round trip takes up to two milliseconds, so a live one
-/// answers far sooner; a longer wait would be added to the pause that the caller sees.
+/// Time-out of a probe. A round trip takes up to two milliseconds, so a live server answers far sooner; a longer
+/// time-out would be added to the pause that the caller sees.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(45);
 
-/// Multiple of this process's own delay that is added to a probe's time. A VM that is slow itself
-/// would otherwise take all servers for dead.
+/// Multiple of this process's own scheduling delay that is added to a time-out. A router on a slow VM would otherwise
+/// treat all servers as dead.
 const LAG_FACTOR: u32 = 4;
 
-/// Time between two measurements of this process's own delay.
+/// Interval between two measurements of this process's own delay.
 const LAG_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Measures by how much timers are late here, which tells how slow this VM is.
+/// Measures by how much timers are late in this process, which shows how slow its VM is.
 pub async fn measure_lag(state: Rc<State>) {
     loop {
         let before = Instant::now();
         tokio::time::sleep(LAG_INTERVAL).await;
         let late = before.elapsed().saturating_sub(LAG_INTERVAL);
-        // A delay is forgotten over about a second.
+        // A delay decays within about a second.
         state.lag.set(late.max(state.lag.get().mul_f64(0.8)));
     }
 }
 
-/// Time for which the answer to a probe holds. When a server dies, all streams that pass through it
-/// fall silent within a pass of each other, and each asks all servers of its path.
+/// Time for which the result of a probe is reused. When a server dies, all streams through it fall silent within one
+/// pass of each other, and each of them probes all servers of its path.
 const PROBE_VALIDITY: Duration = Duration::from_millis(150);
 
-/// Time a server gets to answer an order or a question that nothing waits for.
+/// Time-out of commands on which no request and no other order waits.
 pub const BACKGROUND_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Time a server gets to answer a question that orders to other servers wait for: several times what a probe
-/// of a live one takes (99 in 100 within 25 ms).
+/// Time-out of probes on which requests or orders to other servers wait: several times the answer time of a live
+/// server (99 in 100 within 25 ms).
 const URGENT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The same with what this process's own delay adds.
+/// Returns the time-out of probes on which requests or orders wait, extended by this process's own delay.
 pub fn urgent_timeout(state: &State) -> Duration {
     URGENT_TIMEOUT + state.lag.get() * LAG_FACTOR
 }
 
-/// Sends a question or an order; the status and body of the answer.
+/// Sends a command over a new connection; returns the status and body of the answer.
 pub async fn send(
     peer: &Peer,
     command: Command,
@@ -65,8 +65,8 @@
     send_over(peer, command, limit, false).await
 }
 
-/// The same; over a kept connection if `kept`. A kept one may have gone silent while its server
-/// lives, so what depends on the answer goes over a new one.
+/// Sends a command, over an idle connection of the pool if `reuse`. An idle connection may have gone dead while its
+/// server is alive, so commands whose result decides about a server use a new one.
 async fn send_over(
     peer: &Peer,
     command: Command,
@@ -92,7 +92,7 @@
     let host = HeaderValue::from_str(&peer.server().address.to_string()).expect("an address");
     request.headers_mut().insert(HOST, host);
     request.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    let fault = |e: hyper::Error| format!("asking {}: {e}", peer.server().address);
+    let fault = |e: hyper::Error| format!("command to {}: {e}", peer.server().address);
     let answer = connection.sender.send_request(request).await.map_err(fault)?;
     let (head, body) = answer.into_parts();
     let body = body.collect().await.map_err(fault)?.to_bytes();
@@ -100,13 +100,13 @@
     Ok((head.status, body.to_vec()))
 }
 
-/// Asks a server for its state over a new connection.
+/// Fetches a server's report over a new connection.
 pub async fn fetch_report(state: &State, peer: &Peer, limit: Duration) -> Result<Report, String> {
     let (status, body) = send(peer, (state.codec.report)(), limit).await?;
     read(state, peer, status, &body)
 }
 
-/// Asks a server for its state, over a kept connection first.
+/// Fetches a server's report; tries an idle connection of the pool first.
 pub async fn fetch_report_pooled(state: &State, peer: &Peer) -> Result<Report, String> {
     match send_over(peer, (state.codec.report)(), BACKGROUND_TIMEOUT, true).await {
         Ok((status, body)) => read(state, peer, status, &body),
@@ -122,29 +122,29 @@
     report.ok_or_else(|| format!("unreadable report of {}, status {status}", peer.server().address))
 }
 
-/// Asks servers at the same time; those that do not answer.
+/// Probes servers concurrently; returns those that do not answer.
 pub async fn find_silent(state: &State, peers: &[Rc<Peer>]) -> Vec<Rc<Peer>> {
     let answers = join_all(peers.iter().map(|peer| is_alive(state, peer))).await;
     let dead = answers.iter().zip(peers).filter(|(is_alive, _)| !**is_alive);
     dead.map(|(_, peer)| peer.clone()).collect()
 }
 
-/// Time for which an event that came through a server shows that it lives. Shorter than any silence that is
-/// looked into, so that an event from before that silence shows nothing.
+/// Time for which an event that came through a server proves that it is alive. Shorter than any silence that is
+/// checked, so that an event from before the silence proves nothing.
 const EVENT_VALIDITY: Duration = Duration::from_millis(40);
 
-/// Asks the servers of a silent path, the first one and those through which no other stream has just got an
-/// event; how many were asked, and those that do not answer.
+/// Probes the servers of a silent path: the first one, and those through which no other stream has just received an
+/// event. Returns how many were probed, and those that do not answer.
 ///
-/// Load pattern: servers near their limit, so that pauses vary and many streams seem silent for a moment. If each
-/// of them asks all servers of its path, a small VM makes thousands of probes in a few seconds, and
-/// hears the answers so late that it takes live servers for dead.
+/// Load pattern: servers run near their limit, so that pauses vary and many streams seem silent for a moment. If each
+/// of them probes all servers of its path, a router on a small VM sends thousands of probes in a few seconds, and
+/// receives the answers so late that it treats live servers as dead.
 pub async fn find_silent_on_path(state: &State, path: &[Rc<Peer>]) -> (usize, Vec<Rc<Peer>>) {
     let now = state.now();
-    let shown = |peer: &Rc<Peer>| now < peer.last_event_at.get() + EVENT_VALIDITY;
-    let asked = path.iter().enumerate().filter(|(i, peer)| *i == 0 || !shown(peer));
-    let asked: Vec<Rc<Peer>> = asked.map(|(_, peer)| peer.clone()).collect();
-    (asked.len(), find_silent(state, &asked).await)
+    let proven_alive = |peer: &Rc<Peer>| now < peer.last_event_at.get() + EVENT_VALIDITY;
+    let probed = path.iter().enumerate().filter(|(i, peer)| *i == 0 || !proven_alive(peer));
+    let probed: Vec<Rc<Peer>> = probed.map(|(_, peer)| peer.clone()).collect();
+    (probed.len(), find_silent(state, &probed).await)
 }
 
 async fn is_alive(state: &State, peer: &Peer) -> bool {
@@ -152,28 +152,29 @@
         && probe(state, peer, Duration::ZERO, PROBE_TIMEOUT).await.is_some()
 }
 
-/// Whether a server that started at `born` does not answer this router any more after `since`, whatever others say of
-/// it. One that started again under its name has ended as well. A live one may be too slow for a probe, so it gets longer.
+/// Whether a server that started at `born` no longer answers this router after `since`, whatever other routers report.
+/// One that was restarted under its name has ended as well. Uses a longer time-out than a probe, for which a live
+/// server may be too slow.
 pub async fn has_ended(state: &State, peer: &Peer, born: u64, since: Duration) -> bool {
     match probe(state, peer, since, URGENT_TIMEOUT).await {
         None => true,
-        // Not every server says when it started.
+        // Not every server reports its start time.
         Some(start) => start != born && start != 0 && born != 0,
     }
 }
 
-/// Whether nothing listens any more at a server's address, so that it has ended. One that only resets connections, or that
-/// this router can't reach, does not refuse them.
+/// Whether connections to a server's address are refused, so that it has ended. A server that only resets connections,
+/// or that this router can't reach, does not refuse them.
 pub async fn refuses_connections(peer: &Peer) -> bool {
     peer.pool.connect().await.is_err_and(|fault| fault.cause == Cause::Refused)
 }
 
-/// Servers of a data centre that are asked at most to see whether this router reaches it.
+/// Servers of a data centre that are probed to check whether this router reaches that data centre.
 const MAX_NEARBY_PROBES: usize = 2;
 
-/// Whether a server that fell silent without closing its connections has ended or is cut off: nothing listens at its address,
-/// or its VM takes no connection while another server of its data centre answers. One that takes connections may be at work,
-/// and where no other server answers, it is this router that is cut off.
+/// Whether a server that fell silent without closing its connections has ended or is cut off: nothing listens at its
+/// address, or its VM accepts no connection while another server of its data centre answers. A server that accepts
+/// connections may still be running requests; if no other server answers, it is this router that is cut off.
 pub async fn is_gone(state: &State, peer: &Peer) -> bool {
     let mut reachability = peer.reachability.lock().await;
     if state.now() < reachability.at + PROBE_VALIDITY {
@@ -190,7 +191,7 @@
     gone
 }
 
-/// Whether another server of the same data centre answers now. Those are asked through which events came last.
+/// Whether another server of the same data centre answers now. Probes those through which events came last.
 async fn reaches_nearby(state: &State, peer: &Peer) -> bool {
     let (since, server) = (state.now(), peer.server());
     let mut nearby = state.peers();
@@ -200,17 +201,17 @@
     });
     nearby.sort_by_key(|p| std::cmp::Reverse(p.last_event_at.get()));
     nearby.truncate(MAX_NEARBY_PROBES);
-    let asked = nearby.iter().map(|p| probe(state, p, since, URGENT_TIMEOUT));
-    join_all(asked).await.iter().any(Option::is_some)
+    let probes = nearby.iter().map(|p| probe(state, p, since, URGENT_TIMEOUT));
+    join_all(probes).await.iter().any(Option::is_some)
 }
 
-/// Asks a server whether it lives, unless that was just done, after `since` and with as much time to answer; when the
-/// start of it that answers began.
+/// Probes a server, or reuses the last result if that is recent, not older than `since` and had at least the same
+/// time-out. Returns the start time that the server reports, or `None` if it does not answer.
 async fn probe(state: &State, peer: &Peer, since: Duration, limit: Duration) -> Option<u64> {
-    let mut asked = peer.last_probe.lock().await;
-    let fresh = since <= asked.at && state.now() < asked.at + PROBE_VALIDITY;
-    if fresh && (asked.start.is_some() || limit <= asked.limit) {
-        return asked.start;
+    let mut last = peer.last_probe.lock().await;
+    let fresh = since <= last.at && state.now() < last.at + PROBE_VALIDITY;
+    if fresh && (last.start.is_some() || limit <= last.limit) {
+        return last.start;
     }
     let start = match fetch_report(state, peer, limit + state.lag.get() * LAG_FACTOR).await {
         Ok(report) => {
@@ -224,15 +225,15 @@
             None
         }
     };
-    *asked = Probe { at: state.now(), limit, start };
+    *last = Probe { at: state.now(), limit, start };
     start
 }
 
-/// Asks a server itself that another router says does not answer. An answer ends the suspicion.
+/// Probes a server that another router reported as not answering. An answer ends the suspicion.
 ///
-/// Load pattern: a slow router takes a live server for dead and tells all others. If the router that gives orders has its layers
-/// loaded elsewhere, the live server counts as spare and is told to give them up; it then refuses other paths to all streams that
-/// began there.
+/// Load pattern: a slow router treats a live server as dead and notifies all others. If the leader then has its layers
+/// loaded elsewhere, the live server counts as spare and is ordered to release them; it then refuses to repath all
+/// streams that began there.
 pub fn verify(state: &Rc<State>, peer: &Rc<Peer>) {
     let (state, peer) = (state.clone(), peer.clone());
     peer.verifying.set(true);
@@ -240,13 +241,13 @@
         let answer = fetch_report(&state, &peer, urgent_timeout(&state)).await;
         peer.verifying.set(false);
         if answer.is_ok() {
-            log::info!("gateway: server={} suspect=false why=it answers", peer.server().id);
+            log::info!("gateway: server={} suspect=false why=the server answers", peer.server().id);
         }
         state.changed.notify_waiters();
     });
 }
 
-/// Passes over a server and tells the other routers.
+/// Marks a server as suspected and notifies the other routers.
 pub fn suspect(state: &Rc<State>, peer: &Rc<Peer>, why: &str) {
     if peer.record_failure(state.now()) {
         crash::note_silent(state, peer);
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,4 +1,4 @@
-//! The path of a request through the model servers, from what is believed now.
+//! Finding the path of a request through the model servers, from what this router currently knows of them.
 
 mod crossing;
 mod explain;
@@ -26,30 +26,29 @@
     link_meter, millis, zone_loads,
 };
 
-/// Cost of beginning in another data centre, as a part of the whole time of a request. More than
-/// the copies differ in speed, so that each data centre's requests stay there while its copy is
-/// whole, and small against what a missing layer costs.
+/// Cost of beginning in another data centre, as a fraction of the total time of a request. More than the copies differ
+/// in speed, so that the requests of a data centre stay there while its copy is complete, and small compared to the
+/// cost of a missing layer.
 const REMOTE_START_COST: f64 = 0.35;
 
-/// Part of a server's memory for requests up to which this router sends it more. Other routers
-/// send to it too, and a request that meets full memory is declined or preempts another.
+/// Fraction of a server's memory for requests up to which this router sends it more. Other routers send to it as well,
+/// and a request that finds the memory full is declined or preempts another one.
 const MAX_MEMORY_FILL: f64 = 0.97;
 
-/// Time for a token to get to the next server of a path in the same data centre, in milliseconds.
+/// Time for a token to reach the next server of a path in the same data centre, in milliseconds.
 const HOP_MS: f64 = 0.2;
 
-/// Cost of going on in another data centre, as a part of the whole time of a request. All paths share
-/// one link between data centres, which some seventy prompts a second fill; paths that cross it
-/// for speed alone would leave nothing for those that have no other way. Such a path also ends with
-/// the loss of a server in either data centre.
+/// Cost of crossing to another data centre, as a fraction of the total time of a request. All paths share one link
+/// between data centres, which some seventy prompts a second saturate; paths that cross it only for speed would leave
+/// no capacity for those that have no alternative. Such a path also fails with a server of either data centre.
 const CROSSING_COST: f64 = 0.5;
 
-/// Cost of a server that has all of this router's requests over one that has none. More than two servers of
-/// the same card differ, and less than what another card or a further hop takes; at 0.4, requests
-/// take slow ways round and the grown deployments lose 0.01 to 0.02 of their worth.
+/// Additional cost of a server that runs all of this router's requests, compared to one that runs none. More than two
+/// servers with the same accelerator differ, and less than the cost of another accelerator or a further hop; at 0.4,
+/// requests take slow detours and the grown deployments lose 0.01 to 0.02 of their worth.
 const BALANCE_COST: f64 = 0.15;
 
-/// Part of the cost of a server that has read the request already.
+/// Factor on the cost of a server that has already done the prefill of the request.
 const KEPT_COST_FACTOR: f64 = 0.3;
 
 /// A path of one request.
@@ -57,22 +56,22 @@
 pub struct Path {
     /// The servers, in order.
     pub peers: Vec<Rc<Peer>>,
-    /// What each runs.
+    /// Address and layers of each server.
     pub hops: Vec<Hop>,
     loads: Vec<Load>,
     charges: Vec<Charge>,
-    /// Bytes of context that the request brings to servers which have none of it.
+    /// Bytes of context that the request adds on servers which hold none of it yet.
     new_context: Vec<(Rc<Peer>, f64)>,
 }
 
 impl Path {
-    /// The server that the request is sent to.
+    /// Returns the server that the request is sent to.
     pub fn first(&self) -> &Rc<Peer> {
         &self.peers[0]
     }
 
-    /// Counts the prompt in the meters of the servers that read it and of the links that it crosses. Only for a path
-    /// that a request is sent along: streams that wait for a repeat look for one many times a second.
+    /// Charges the prompt to the meters of the servers that read it and of the links that it crosses. Only called for a
+    /// path that a request is sent along: streams that wait for a retry search for a path many times a second.
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
@@ -81,13 +80,14 @@
             .for_each(|(peer, bytes)| peer.sent_context.borrow_mut().note(now, bytes));
     }
 
-    /// Whether a new request may take it, of which a fixed random number is `luck`: of those that want a link between
-    /// data centres, all routers together send as many as it carries. With `wants`, it is counted among them.
+    /// Whether a new request with the fixed random number `random` may take the path: of the requests that need a link
+    /// between data centres, all routers together send only as many as it can carry. With `wants`, the request is
+    /// counted in the demand for the link.
     pub fn may_cross(&self, state: &State, random: f64, wants: bool) -> bool {
         self.charges.iter().all(|charge| charge.allows(state, random, wants))
     }
 
-    /// Notes that an event came along it.
+    /// Records that an event came along the path.
     pub fn record_event(&self, now: Duration) {
         self.peers.iter().for_each(|peer| peer.last_event_at.set(now));
     }
@@ -98,8 +98,8 @@
     }
 }
 
-/// The best path for a request of that size that avoids the servers in `but`, and unless `crosses`, links between data
-/// centres; with `willing`, also those that have just declined others.
+/// Finds the best path for a request of that size that avoids the servers in `excluded`; with `accepting_only`, also
+/// those that have just declined a request; and unless `may_cross`, links between data centres.
 pub fn find(
     state: &State,
     service: &str,
@@ -115,8 +115,8 @@
     search(state, service, model, tokens, excluded, &constraints)
 }
 
-/// A path that begins like `path` and avoids servers that are suspected. What its servers have
-/// read of a request stays useful, so they are kept where they can be.
+/// Finds a path with the same first server as `path` that avoids suspected servers. Servers of `path` are preferred,
+/// since they have already done the prefill of the request.
 pub fn repath(
     state: &State,
     service: &str,
@@ -143,8 +143,8 @@
     Some(rest)
 }
 
-/// Why there is no path that avoids the servers in `but`. Memory that is full is free again sooner than lost layers are
-/// loaded.
+/// Returns why there is no path that avoids the servers in `excluded`. The reasons differ in when a caller should come
+/// back: full memory is released sooner than lost layers are loaded.
 pub fn no_path_reason(state: &State, service: &str, model: &Model, excluded: &[String]) -> Reason {
     match covers_all_layers(state, service, model, excluded) {
         true if over_limit(state, service, excluded) => Reason::Limited,
@@ -154,19 +154,19 @@
     }
 }
 
-/// Whether each layer of the model is held by some server that takes requests and is not in `but`.
+/// Whether each layer of the model is held by some server that accepts requests and is not in `excluded`.
 fn covers_all_layers(state: &State, service: &str, model: &Model, excluded: &[String]) -> bool {
     let now = state.now();
     let peers = state.of(service);
-    let taking = |p: &&Rc<Peer>| p.accepts_requests(now) && !excluded.contains(&p.server().id);
-    let spans = peers.iter().filter(taking).map(|p| p.span(now));
+    let accepting = |p: &&Rc<Peer>| p.accepts_requests(now) && !excluded.contains(&p.server().id);
+    let spans = peers.iter().filter(accepting).map(|p| p.span(now));
     let mut spans: Vec<Span> = spans.collect();
     spans.sort_unstable();
-    let reached = spans.iter().fold(0, |at, s| if s.from <= at { at.max(s.to) } else { at });
-    reached >= model.shape.layers
+    let covered = spans.iter().fold(0, |at, s| if s.from <= at { at.max(s.to) } else { at });
+    covered >= model.shape.layers
 }
 
-/// Whether a request could begin only at servers that name limits, which are used up.
+/// Whether all servers at which a request could begin have announced limits that are used up.
 fn over_limit(state: &State, service: &str, excluded: &[String]) -> bool {
     let now = state.now();
     let mut firsts = state.of(service);
@@ -176,23 +176,23 @@
     !firsts.is_empty() && firsts.iter().all(|p| !p.limited.allows(now))
 }
 
-/// Whether requests can begin at a server.
+/// Whether requests can begin at a server, that is, whether it holds the first layer.
 pub fn holds_first_layer(peer: &Peer, now: Duration) -> bool {
     let span = peer.span(now);
     span.from == 0 && !span.is_empty()
 }
 
-/// Where a path is to begin.
+/// Constraints on the search for a path.
 struct Constraints<'a> {
     from: u32,
     zone: Zone,
-    /// Servers that have read the request already.
+    /// Servers that have already done the prefill of the request.
     kept: &'a [Rc<Peer>],
     accepting_only: bool,
     crossing: Crossing,
 }
 
-/// Bytes of context in one layer.
+/// Returns the bytes of context that a request takes in one layer.
 fn context_bytes(model: &Model, tokens: Tokens) -> f64 {
     (tokens.prompt + tokens.answer) * model.shape.token_bytes
 }
@@ -241,7 +241,7 @@
             return f64::INFINITY;
         }
         let waiting = link.waiting(now, MAX_LINK_UTILIZATION / zone_ratio).min(max_wait);
-        // Of new requests, only as many are let through as the links carry.
+        // New requests need no spread: only as many of them are admitted as the links can carry.
         let spread = if constraints.from > 0 { spread(random, (from, to)) } else { 0.0 };
         (CROSSING_COST + spread) * total_ms + tokens.answer * shape.cross_ms + millis(waiting)
     };
@@ -277,7 +277,7 @@
     })
 }
 
-/// Time of a request on cards of that pace.
+/// Returns the time that a request takes on accelerators of that pace.
 fn request_ms(shape: &Shape, tokens: Tokens, pace: f64) -> f64 {
     tokens.prompt / shape.read_per_ms * pace + tokens.answer * shape.step_ms * pace
 }
@@ -307,18 +307,18 @@
     let reading = peer.prefill_backlog.get();
     let reads = reading.takes(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
     let reading = reading.waiting(now, 1.0 / zone_load.zone_ratio).min(MAX_PREFILL_WAIT);
-    // What it has begun, it keeps.
+    // A server that already runs the request is not subject to these limits.
     if !kept && (full > MAX_MEMORY_FILL || !reads || peer.running.get() >= entry.slots) {
         return None;
     }
     let slow = peer.slowdown.get();
     let read = tokens.prompt / shape.read_per_ms * card.read * slow;
     let write = tokens.answer * shape.step_ms * card.pace * slow;
-    // Grows without bound as memory fills, so that copies fill evenly.
+    // Grows without bound as memory fills, so that the copies fill evenly.
     let full = full.min(MAX_MEMORY_FILL);
     let scarce = 1.0 / (1.0 - full * full);
-    // Where layers are held twice, the server with fewer of this router's requests goes first: a loss then
-    // breaks off half as many, and each half is read again in half the time.
+    // Where two servers hold the same layers, the one with fewer of this router's requests is preferred: a loss then
+    // breaks half as many, and their prefill is repeated in half the time.
     let part = (f64::from(peer.running.get()) / zone_load.own.max(1.0)).min(1.0);
     let shared = 1.0 + BALANCE_COST * part;
     Some(Holder {
@@ -334,27 +334,27 @@
     })
 }
 
-/// What is known of the load at one moment.
+/// Load as known at one moment.
 #[derive(Debug, Clone, Copy)]
 struct Snapshot {
     now: Duration,
     zone_load: ZoneLoad,
-    /// How long requests last.
+    /// Mean duration of streams.
     lasting: Duration,
 }
 
-/// Bytes of a server's memory for requests that those of all routers take, by what it told and what was sent since, or
-/// else as far as this router's own say: at most all that run in the data centre.
+/// Estimates the bytes of a server's memory that requests of all routers take: from its last report and what was sent
+/// since, or without a recent report from this router's own requests, limited to all that run in the data centre.
 fn memory_in_use(peer: &Peer, model: &Model, memory: f64, snapshot: Snapshot) -> f64 {
     let Snapshot { now, zone_load, lasting } = snapshot;
     match peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY) {
-        Some((part, heard)) => {
-            let at = heard.saturating_sub(model.told_after);
-            let told = Told { work: part * memory, at, lasting };
+        Some((part, received)) => {
+            let at = received.saturating_sub(model.told_after);
+            let reported = Told { work: part * memory, at, lasting };
             match zone_load.own > 0.0 {
-                true => told.now(now, &peer.sent_context.borrow(), zone_load.total_ratio),
-                // What others send can't be told from what this router does.
-                false => told.work,
+                true => reported.now(now, &peer.sent_context.borrow(), zone_load.total_ratio),
+                // Without requests of its own this router has no estimate of what the others send.
+                false => reported.work,
             }
         }
         None => {
@@ -366,18 +366,19 @@
     }
 }
 
-/// Part of a server's memory for requests that is taken, if it has told lately.
+/// Returns the fraction of a server's memory for requests that is in use, if it was reported lately.
 pub fn reported_fill(peer: &Peer, now: Duration) -> Option<f64> {
     peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY).map(|(part, _)| part)
 }
 
-/// Cost of beginning a request that takes `whole` milliseconds at a server, as far as it told of its slots.
+/// Returns the cost of beginning a request that takes `total_ms` milliseconds at a server, from the last load that the
+/// server reported; zero if there is no recent report.
 fn begin_ms(peer: &Peer, now: Duration, total_ms: f64) -> f64 {
-    let told = peer.reported_load.get().filter(|(_, at)| now < *at + LOAD_VALIDITY);
-    told.map_or(0.0, |(running, _)| slots::begin_ms(running, peer.server().slots, total_ms))
+    let reported = peer.reported_load.get().filter(|(_, at)| now < *at + LOAD_VALIDITY);
+    reported.map_or(0.0, |(running, _)| slots::begin_ms(running, peer.server().slots, total_ms))
 }
 
-/// A number for the name of a data centre; equal names have equal numbers.
+/// Returns a number for the name of a data centre; equal names have equal numbers.
 pub fn zone(name: &str) -> Zone {
     (xxhash_rust::xxh3::xxh3_64(name.as_bytes()) & 0xffff) as u16
 }
--- a/crates/gateway/src/route/crossing.rs
+++ b/crates/gateway/src/route/crossing.rs
@@ -1,4 +1,4 @@
-//! What paths may ask of the links between data centres.
+//! Limits on the use of links between data centres by a path.
 
 use std::time::Duration;
 
@@ -6,38 +6,39 @@
 
 use super::load::MAX_LINK_WAIT;
 
-/// Largest random part of the cost of a link for a path that is mended, as a part of the whole time of a request. All routers
-/// mend paths at the same moment; all of them would take the link to the fastest copy, which may be slower than they know.
+/// Largest random part of the cost of a link when a stream is repathed, as a fraction of the total time of a request.
+/// All routers repath streams at the same moment; without it all of them would take the link to the fastest copy, which
+/// may be slower than they know.
 const MAX_SPREAD_COST: f64 = 0.35;
 
-/// What a path may ask of the links between data centres.
+/// Limits on the use of links between data centres by a path.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Crossing {
     /// Longest transfer, in milliseconds.
     pub max_transfer_ms: f64,
-    /// How long this router's transfers may wait for a link.
+    /// Longest queueing time of this router's transfers at a link.
     pub max_wait: Duration,
 }
 
 impl Crossing {
-    /// None at all.
+    /// No crossing at all.
     pub const NONE: Crossing = Crossing { max_transfer_ms: 0.0, max_wait: Duration::ZERO };
 
-    /// Any transfer, while few wait.
+    /// Any transfer, as long as the queue at the link is short.
     pub const DEFAULT: Crossing =
         Crossing { max_transfer_ms: f64::INFINITY, max_wait: MAX_LINK_WAIT };
 
-    /// For a stream whose path is mended at once. All streams that passed through a dead server are mended at the same
-    /// moment; some sixty of them would wait a second for a link on which each takes longer.
+    /// For a stream that is repathed at once. All streams through a dead server are repathed at the same moment; with
+    /// longer transfers some sixty of them would queue for a second at a link.
     pub const IMMEDIATE: Crossing = Crossing { max_transfer_ms: 20.0, max_wait: MAX_LINK_WAIT };
 
-    /// For a stream that has no other way. Its caller leaves after two seconds without an event, and some of them have
+    /// For a stream that has no alternative. Its caller leaves after two seconds without an event, part of which has
     /// passed.
     pub const LAST_RESORT: Crossing =
         Crossing { max_transfer_ms: f64::INFINITY, max_wait: Duration::from_secs(1) };
 }
 
-/// Random part of the cost of a link, the same as long as `luck` is.
+/// Returns the random part of the cost of a link, which is the same for equal `random`.
 pub(super) fn spread(random: u64, (from, to): (Zone, Zone)) -> f64 {
     let ends = [from.to_le_bytes(), to.to_le_bytes()].concat();
     let part =
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -1,4 +1,4 @@
-//! What stood in the way of a request for which there is no path, for the log.
+//! Explanations for the log of why there is no path for a request.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use crate::settings::Model;
 use crate::state::State;
 
-/// Why there is no path, for the log: how many servers are passed over for which reason, and which
-/// layers those that are left do not hold.
+/// Explains for the log why there is no path: how many servers were rejected for which reason, and which layers the
+/// remaining ones do not hold.
 pub fn explain(
     state: &State,
     service: &str,
@@ -85,14 +85,14 @@
     )
 }
 
-/// What is believed of a server that declined a request, for the log.
+/// Describes for the log what this router knows of a server that declined a request.
 pub fn describe(peer: &Peer, now: Duration) -> String {
-    let (told, age) = match peer.filled.get() {
+    let (fill, age) = match peer.filled.get() {
         Some((part, at)) => (Some(part), Some(now.saturating_sub(at))),
         None => (None, None),
     };
     format!(
-        "[layers={} filled={told:?} age={age:?} running={} declines={} slots={:?}]",
+        "[layers={} filled={fill:?} age={age:?} running={} declines={} slots={:?}]",
         peer.span(now),
         peer.running.get(),
         peer.declines.borrow().holds(now),
@@ -100,18 +100,18 @@
     )
 }
 
-/// What is left of one data centre's servers for a request.
+/// Servers of one data centre that can take a request.
 #[derive(Display)]
 #[display("{name}:lacks={},begins={begins}", missing_layers(held))]
 struct DataCentre {
     zone: Zone,
     name: String,
     held: Vec<bool>,
-    /// Servers with the first layer that have a slot.
+    /// Servers with the first layer and a free slot.
     begins: u32,
 }
 
-/// Layers that are not held, as spans.
+/// Returns the layers that no server holds, as spans.
 fn missing_layers(held: &[bool]) -> String {
     let spans = Span::gaps(held).iter().map(Span::to_string).collect::<Vec<_>>();
     spans.join("+")
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -1,4 +1,4 @@
-//! What is known of the load on servers and links: from their answers, and from what was sent.
+//! Load on servers and links, as known from the answers of servers and from what this router sent.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,49 +14,49 @@
 use crate::settings::Model;
 use crate::state::State;
 
-/// Part of a link between data centres that is used for prompts. The rest is for tokens, for copies
-/// of layers, and for routers that count each other late.
+/// Fraction of a link between data centres that is used for prompts. The rest is for tokens, for copies of layers, and
+/// for routers that learn of each other with a delay.
 pub(super) const MAX_LINK_UTILIZATION: f64 = 0.7;
 
-/// Transfers that wait for a link up to which more are sent over it. Half of the usual goal for
-/// the first event is then left.
+/// Queueing time at a link up to which further transfers are sent over it. Half of the usual goal for the first event
+/// is then left.
 pub(super) const MAX_LINK_WAIT: Duration = Duration::from_millis(250);
 
-/// Prompts that wait to be read at a server up to which it gets more.
+/// Queueing time for the prefill at a server up to which it gets further prompts.
 pub(super) const MAX_PREFILL_WAIT: Duration = Duration::from_millis(300);
 
-/// How long what a server tells of its load is used.
+/// Time for which a load that a server reported in an answer is used.
 pub(super) const LOAD_VALIDITY: Duration = Duration::from_millis(1500);
 
-/// How long it is used how full a server's memory was. It is asked each second; after some that were missed,
-/// a guess is better.
+/// Time for which a reported use of memory is valid. Reports are polled each second; when several of them were missed,
+/// an estimate from this router's own requests is better.
 pub(super) const FILL_VALIDITY: Duration = Duration::from_millis(3000);
 
-/// Requests that run through one data centre's copy.
+/// Requests that run through the copy of one data centre.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ZoneLoad {
     pub(super) zone: Zone,
-    /// Requests of all routers, as its first servers tell.
+    /// Requests of all routers, as reported by its first servers.
     pub(super) running: f64,
     /// Requests of this router.
     pub(super) own: f64,
-    /// Requests of all routers for each of this router's, over all data centres, at least one.
+    /// Ratio of the requests of all routers to those of this router, over all data centres; at least one.
     pub(super) total_ratio: f64,
-    /// Requests of all routers for each of this router's, at least one.
+    /// Ratio of the requests of all routers to those of this router in this data centre; at least one.
     pub(super) zone_ratio: f64,
 }
 
 impl ZoneLoad {
-    /// Nothing is told: each router is taken to send as much as this one.
+    /// Load of a data centre without reports; the ratio is the square root of the number of routers.
     pub(super) fn unknown(zone: Zone, routers: u32) -> ZoneLoad {
         let zone_ratio = f64::from(routers).sqrt();
         ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: zone_ratio, zone_ratio }
     }
 }
 
-/// Requests of all routers that run through each data centre's copy, as their first servers tell.
-/// A router sees only its own; when copies are lost, the others' requests crowd into the copies
-/// that are left, and none of the routers would notice that their memory is full.
+/// Returns the requests of all routers that run through the copy of each data centre, as reported by its first
+/// servers. A router sees only its own; when copies are lost, the requests of the others move to the remaining copies,
+/// and no router would detect that their memory is full.
 pub(super) fn zone_loads(peers: &[Rc<Peer>], now: Duration, routers: u32) -> Vec<ZoneLoad> {
     let mut zone_loads: Vec<ZoneLoad> = Vec::new();
     for peer in peers {
@@ -93,20 +93,20 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The meter of the link between two data centres.
+/// Returns the meter of the link between two data centres.
 pub(super) fn link_meter(state: &State, from: Zone, to: Zone) -> Meter {
     let links = state.links.borrow();
     let found = links.binary_search_by_key(&(from, to), |(ends, _)| *ends);
     found.map_or(Meter::default(), |at| links[at].1)
 }
 
-/// Work that a request brings to a server or a link, for its meter.
+/// Work that a request adds to a server or a link, to be recorded in its meter.
 #[derive(Debug)]
 pub(super) struct Charge {
     at: Target,
-    /// How long the work takes.
+    /// Time that the work takes.
     work: Duration,
-    /// Part of the worker's time that is this router's.
+    /// This router's share of the capacity.
     share: f64,
 }
 
@@ -118,12 +118,12 @@
 }
 
 impl Charge {
-    /// Prompts that cross a link between data centres.
+    /// A prompt that crosses a link between data centres.
     pub(super) fn link(ends: (Zone, Zone), ms: f64, share: f64) -> Charge {
         Charge { at: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
     }
 
-    /// A prompt that a server reads through some layers; none if its card is not known.
+    /// The prefill of a prompt through some layers of a server; `None` if its accelerator type is unknown.
     pub(super) fn prefill(
         peer: &Rc<Peer>,
         model: &Model,
@@ -138,7 +138,7 @@
         Some(Charge { at: Target::Server(peer.clone()), work, share: 1.0 / zone_load.zone_ratio })
     }
 
-    /// Whether a new request may bring this work to a link.
+    /// Whether a new request may add this work to a link; always true for servers.
     pub(super) fn allows(&self, state: &State, random: f64, wants: bool) -> bool {
         let Target::Link(ends) = self.at else { return true };
         let now = state.now();
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -69,7 +69,7 @@
     call: &'a Call,
     service: &'a str,
     model: &'a Model,
-    /// Servers at which no further path may begin, or that declined the request.
+    /// Servers that further paths of this request avoid.
     excluded: Vec<String>,
     /// Paths that the request was sent along.
     tries: u32,
