--- a/crates/gateway/src/edge.rs
+++ b/crates/gateway/src/edge.rs
@@ -1,4 +1,4 @@
-//! Servers for callers, the load balancer, other routers and the metrics page.
+//! HTTP listeners for callers, the load balancer, other routers and the metrics page.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -82,7 +82,7 @@
 /// Recent activity on a connection.
 #[derive(Debug)]
 struct Activity {
-    read: Cell<Instant>,
+    last_read: Cell<Instant>,
     /// Whether bytes were received since the last request began.
     partial: Cell<bool>,
     /// Requests being served.
@@ -106,7 +106,7 @@
         if buf.filled().len() > before {
             self.activity.partial.set(true);
             if self.activity.serving.get() == 0 {
-                self.activity.read.set(Instant::now());
+                self.activity.last_read.set(Instant::now());
             }
         }
         polled
@@ -149,7 +149,7 @@
         log::debug!("gateway: TCP_NODELAY not set, small answers may be delayed: {e}");
     }
     let activity = Rc::new(Activity {
-        read: Cell::new(Instant::now()),
+        last_read: Cell::new(Instant::now()),
         partial: Cell::new(false),
         serving: Cell::new(0),
     });
@@ -194,7 +194,7 @@
 /// Decides whether a connection has been idle or incomplete for too long.
 fn check(state: &State, activity: &Activity) -> Check {
     let Some(settings) = state.settings() else { return Check::Fine };
-    let idle = activity.read.get().elapsed();
+    let idle = activity.last_read.get().elapsed();
     match activity.serving.get() {
         0 if activity.partial.get() && idle > settings.limits.head_time => Check::Slow,
         0 if idle > settings.limits.idle + IDLE_MARGIN => Check::Close,
@@ -212,7 +212,7 @@
     let _on_connection = Counted::new(&activity.serving);
     let _serving = Counted::new(&state.serving);
     let mut response = answer(&state, request).await;
-    activity.read.set(Instant::now());
+    activity.last_read.set(Instant::now());
     activity.partial.set(false);
     if state.stopping.get().is_some() {
         response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -221,14 +221,14 @@
 }
 
 async fn answer(state: &Rc<State>, request: Request<Incoming>) -> Response<Body> {
-    let began = Instant::now();
+    let started = Instant::now();
     let (head, mut body) = request.into_parts();
-    let named = head.headers.get(&state.codec.names.request);
-    let id = named.and_then(|id| id.to_str().ok()).unwrap_or("none").to_owned();
+    let value = head.headers.get(&state.codec.names.request);
+    let id = value.and_then(|id| id.to_str().ok()).unwrap_or("none").to_owned();
     match request::read(state, head, &mut body).await {
         Ok(call) => {
             let response = dispatch(state, call).await;
-            state.metrics.answered(response.status(), began.elapsed());
+            state.metrics.answered(response.status(), started.elapsed());
             response
         }
         Err(reason) => {
@@ -290,7 +290,7 @@
         Some(_) => "unknown",
         None => "failed",
     };
-    let again = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok());
+    let retry_after = response.headers().get(RETRY_AFTER).and_then(|v| v.to_str().ok());
     log::info!(
         "gateway: request={} outcome={outcome} why={} route={} service={service} settings={} status={} retry_after={} age={:?}",
         call.id,
@@ -298,7 +298,7 @@
         call.route.name,
         call.settings.version,
         response.status(),
-        again.unwrap_or("none"),
+        retry_after.unwrap_or("none"),
         call.arrived.elapsed()
     );
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -260,8 +260,8 @@
     peers.retain(|p| p.ready() && p.limited.allows(now) && !excluded.contains(&p.server().id));
     let healthy: Vec<_> = peers.iter().filter(|p| p.usable(now)).cloned().collect();
     // If all are suspected, the network is more likely at fault than all servers.
-    let from = if healthy.is_empty() { peers } else { healthy };
-    let choices: Vec<Choice> = from
+    let candidates = if healthy.is_empty() { peers } else { healthy };
+    let choices: Vec<Choice> = candidates
         .iter()
         .map(|p| Choice {
             running: p.running.get(),
@@ -270,7 +270,7 @@
             near: p.server().zone == state.setup.zone,
         })
         .collect();
-    pick(&choices, &mut rand::rng()).map(|at| from[at].clone())
+    pick(&choices, &mut rand::rng()).map(|at| candidates[at].clone())
 }
 
 /// Whether all servers that take requests have announced limits that are used up.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -93,13 +93,13 @@
     address: SocketAddr,
     idle: RefCell<Vec<Idle>>,
     /// Number of connections established.
-    pub made: Cell<u64>,
+    pub connection_count: Cell<u64>,
 }
 
 impl Pool {
     /// Creates an empty pool.
     pub fn new(address: SocketAddr) -> Pool {
-        Pool { address, idle: RefCell::default(), made: Cell::new(0) }
+        Pool { address, idle: RefCell::default(), connection_count: Cell::new(0) }
     }
 
     /// Takes an idle connection, if one can still be used.
@@ -143,7 +143,7 @@
                 log::debug!("gateway: connection to {peer} ended: {e}");
             }
         });
-        self.made.set(self.made.get() + 1);
+        self.connection_count.set(self.connection_count.get() + 1);
         Ok(Connection { sender, task: Task(task.abort_handle()), reused: false })
     }
 
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -205,8 +205,8 @@
     join_all(probes).await.iter().any(Option::is_some)
 }
 
-/// Probes a server, or reuses the last result if that is recent, not older than `since` and had at least the same
-/// time-out. Returns the start time that the server reports, or `None` if it does not answer.
+/// Probes a server. Reuses the last result if that is recent and not older than `since`, and is an answer or had at
+/// least the same time-out. Returns the start time that the server reports, or `None` if it does not answer.
 async fn probe(state: &State, peer: &Peer, since: Duration, limit: Duration) -> Option<u64> {
     let mut last = peer.last_probe.lock().await;
     let fresh = since <= last.at && state.now() < last.at + PROBE_VALIDITY;
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -255,16 +255,16 @@
     let (parts, _) = path::find(&holders, &ask)?;
     let of = |part: &path::Part| peers[part.server].clone();
     let (mut charges, mut new_context) = (Vec::new(), Vec::new());
-    let mut before = (constraints.from > 0).then_some(constraints.zone);
+    let mut previous = (constraints.from > 0).then_some(constraints.zone);
     for part in &parts {
         let peer = of(part);
-        let here = zone(&peer.server().zone);
-        if let Some(before) = before.replace(here).filter(|before| *before != here) {
-            let share = MAX_LINK_UTILIZATION / load_of(before).zone_ratio;
-            charges.push(Charge::link((before, here), transfer, share));
+        let current = zone(&peer.server().zone);
+        if let Some(previous) = previous.replace(current).filter(|previous| *previous != current) {
+            let share = MAX_LINK_UTILIZATION / load_of(previous).zone_ratio;
+            charges.push(Charge::link((previous, current), transfer, share));
         }
         if !constraints.kept.iter().any(|k| Rc::ptr_eq(k, &peer)) {
-            charges.extend(Charge::prefill(&peer, model, tokens, part.span, load_of(here)));
+            charges.extend(Charge::prefill(&peer, model, tokens, part.span, load_of(current)));
             new_context.push((peer, bytes * f64::from(part.span.len())));
         }
     }
@@ -304,29 +304,29 @@
     let in_use = memory_in_use(peer, model, memory, snapshot);
     let taken = peer.context.get().max(in_use) + bytes * layers;
     let full = taken / memory.max(1.0);
-    let reading = peer.prefill_backlog.get();
-    let reads = reading.takes(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
-    let reading = reading.waiting(now, 1.0 / zone_load.zone_ratio).min(MAX_PREFILL_WAIT);
+    let backlog = peer.prefill_backlog.get();
+    let takes_prompt = backlog.takes(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
+    let backlog = backlog.waiting(now, 1.0 / zone_load.zone_ratio).min(MAX_PREFILL_WAIT);
     // A server that already runs the request is not subject to these limits.
-    if !kept && (full > MAX_MEMORY_FILL || !reads || peer.running.get() >= entry.slots) {
+    if !kept && (full > MAX_MEMORY_FILL || !takes_prompt || peer.running.get() >= entry.slots) {
         return None;
     }
-    let slow = peer.slowdown.get();
-    let read = tokens.prompt / shape.read_per_ms * card.read * slow;
-    let write = tokens.answer * shape.step_ms * card.pace * slow;
+    let slowdown = peer.slowdown.get();
+    let prefill = tokens.prompt / shape.read_per_ms * card.read * slowdown;
+    let decode = tokens.answer * shape.step_ms * card.pace * slowdown;
     // Grows without bound as memory fills, so that the copies fill evenly.
     let full = full.min(MAX_MEMORY_FILL);
-    let scarce = 1.0 / (1.0 - full * full);
+    let memory_factor = 1.0 / (1.0 - full * full);
     // Where two servers hold the same layers, the one with fewer of this router's requests is preferred: a loss then
     // breaks half as many, and their prefill is repeated in half the time.
     let part = (f64::from(peer.running.get()) / zone_load.own.max(1.0)).min(1.0);
-    let shared = 1.0 + BALANCE_COST * part;
+    let balance_factor = 1.0 + BALANCE_COST * part;
     Some(Holder {
         server,
         zone: zone(&entry.zone),
         span,
-        layer_ms: (read + write) / f64::from(shape.layers) * scarce * shared,
-        hop_ms: HOP_MS * tokens.answer + millis(reading),
+        layer_ms: (prefill + decode) / f64::from(shape.layers) * memory_factor * balance_factor,
+        hop_ms: HOP_MS * tokens.answer + millis(backlog),
         begin_ms: match peer.limited.allows(now) {
             true => begin_ms(peer, now, request_ms(shape, tokens, 10.0)),
             false => f64::INFINITY,
--- a/crates/gateway/src/route/crossing.rs
+++ b/crates/gateway/src/route/crossing.rs
@@ -28,8 +28,8 @@
     pub const DEFAULT: Crossing =
         Crossing { max_transfer_ms: f64::INFINITY, max_wait: MAX_LINK_WAIT };
 
-    /// For a stream that is repathed at once. All streams through a dead server are repathed at the same moment; with
-    /// longer transfers some sixty of them would queue for a second at a link.
+    /// For a stream that is repathed at once. All streams through a dead server are repathed at the same moment; if
+    /// each transfer took longer, some sixty of them would queue for a second at the link.
     pub const IMMEDIATE: Crossing = Crossing { max_transfer_ms: 20.0, max_wait: MAX_LINK_WAIT };
 
     /// For a stream that has no alternative. Its caller leaves after two seconds without an event, part of which has
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ZoneLoad {
     pub(super) zone: Zone,
-    /// Requests of all routers, as reported by its first servers.
+    /// Requests of all routers, as reported by the first servers of its paths.
     pub(super) running: f64,
     /// Requests of this router.
     pub(super) own: f64,
@@ -47,16 +47,16 @@
 }
 
 impl ZoneLoad {
-    /// Load of a data centre without reports; the ratio is the square root of the number of routers.
+    /// Load of a data centre without reports. The ratio is assumed to be the square root of the number of routers.
     pub(super) fn unknown(zone: Zone, routers: u32) -> ZoneLoad {
         let zone_ratio = f64::from(routers).sqrt();
         ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: zone_ratio, zone_ratio }
     }
 }
 
-/// Returns the requests of all routers that run through the copy of each data centre, as reported by its first
-/// servers. A router sees only its own; when copies are lost, the requests of the others move to the remaining copies,
-/// and no router would detect that their memory is full.
+/// Returns the requests of all routers that run through the copy of each data centre, as reported by the first servers
+/// of its paths. A router sees only its own; when copies are lost, the requests of the others move to the remaining
+/// copies, and no router would detect that their memory is full.
 pub(super) fn zone_loads(peers: &[Rc<Peer>], now: Duration, routers: u32) -> Vec<ZoneLoad> {
     let mut zone_loads: Vec<ZoneLoad> = Vec::new();
     for peer in peers {
@@ -103,7 +103,7 @@
 /// Work that a request adds to a server or a link, to be recorded in its meter.
 #[derive(Debug)]
 pub(super) struct Charge {
-    at: Target,
+    target: Target,
     /// Time that the work takes.
     work: Duration,
     /// This router's share of the capacity.
@@ -120,7 +120,7 @@
 impl Charge {
     /// A prompt that crosses a link between data centres.
     pub(super) fn link(ends: (Zone, Zone), ms: f64, share: f64) -> Charge {
-        Charge { at: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
+        Charge { target: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
     }
 
     /// The prefill of a prompt through some layers of a server; `None` if its accelerator type is unknown.
@@ -135,12 +135,16 @@
         let card = entry.card.as_deref().and_then(|name| model.card(name))?;
         let ms = model.shape.reading_ms(&card, span.len(), peer.slowdown.get(), tokens.prompt);
         let work = Duration::from_secs_f64(ms / 1e3);
-        Some(Charge { at: Target::Server(peer.clone()), work, share: 1.0 / zone_load.zone_ratio })
+        Some(Charge {
+            target: Target::Server(peer.clone()),
+            work,
+            share: 1.0 / zone_load.zone_ratio,
+        })
     }
 
     /// Whether a new request may add this work to a link; always true for servers.
     pub(super) fn allows(&self, state: &State, random: f64, wants: bool) -> bool {
-        let Target::Link(ends) = self.at else { return true };
+        let Target::Link(ends) = self.target else { return true };
         let now = state.now();
         let mut crossings = state.crossings.borrow_mut();
         let at = match crossings.binary_search_by_key(&ends, |(ends, _)| *ends) {
@@ -158,11 +162,11 @@
 
     pub(super) fn apply(self, state: &State) {
         let now = state.now();
-        match self.at {
+        match self.target {
             Target::Server(peer) => {
-                let mut reading = peer.prefill_backlog.get();
-                reading.add(now, self.work, self.share);
-                peer.prefill_backlog.set(reading);
+                let mut backlog = peer.prefill_backlog.get();
+                backlog.add(now, self.work, self.share);
+                peer.prefill_backlog.set(backlog);
             }
             Target::Link(ends) => {
                 let mut links = state.links.borrow_mut();
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -215,12 +215,12 @@
         Ok(Opened::Stream(source, first)) => (source, first),
         Ok(Opened::Whole(answer)) => return answer,
         Err(Reason::Full) => {
-            let again = state.shortage.borrow_mut().refused(state.now());
-            return answer::error_after(Reason::Full, Some(again));
+            let retry_after = state.shortage.borrow_mut().refused(state.now());
+            return answer::error_after(Reason::Full, Some(retry_after));
         }
         Err(Reason::NoPath) => {
-            let again = state.missing.borrow_mut().refused(state.now());
-            return answer::error_after(Reason::NoPath, Some(again));
+            let retry_after = state.missing.borrow_mut().refused(state.now());
+            return answer::error_after(Reason::NoPath, Some(retry_after));
         }
         Err(Reason::Limited) => {
             return limited::refuse(state, service);
@@ -402,10 +402,10 @@
 /// last known memory use was nearly full: it may have room again by the time they receive the notice.
 fn record_decline(state: &State, peer: &Peer) {
     let now = state.now();
-    let known = peer.declines.borrow().holds(now);
+    let already_declining = peer.declines.borrow().holds(now);
     peer.declines.borrow_mut().fail(now);
     let full = route::reported_fill(peer, now).is_some_and(|part| part > NEARLY_FULL_FRACTION);
-    if !known && !full {
+    if !already_declining && !full {
         state.announce(Notice::Declines { server: peer.server().id.clone() });
     }
 }
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -28,7 +28,7 @@
 const MAX_TRIES: u32 = 5;
 
 /// Fraction of the route's goal after which the servers of the path are probed if no event has come.
-const FIRST_CHECK_FRACTION: f64 = 0.5;
+const FIRST_EVENT_CHECK_FRACTION: f64 = 0.5;
 
 /// Interval between two searches for a path.
 const PATH_RETRY_INTERVAL: Duration = Duration::from_millis(60);
@@ -122,9 +122,9 @@
             let mut another = self.try_other_path();
             tokio::select! {
                 biased;
-                came = kept => match ends(&came) {
-                    true => another.await.map_or(Race::Kept(came), Race::from),
-                    false => Race::Kept(came),
+                output = kept => match ends(&output) {
+                    true => another.await.map_or(Race::Kept(output), Race::from),
+                    false => Race::Kept(output),
                 },
                 found = &mut another => found.map_or(Race::Neither, Race::from),
             }
@@ -162,12 +162,12 @@
                 }
             };
             let Some(path) = self.wait_for_path(until).await else {
-                let none = self.no_path();
-                self.obstacle = Some(Obstacle::Path(none));
+                let cause = self.no_path();
+                self.obstacle = Some(Obstacle::Path(cause));
                 if self.last_event.is_none() && !self.path_kept {
-                    self.log_no_path(none);
+                    self.log_no_path(cause);
                 }
-                reason = Some(none);
+                reason = Some(cause);
                 break;
             };
             let again = self.tries > 0;
@@ -266,28 +266,37 @@
     /// Finds a path. One that crosses links between data centres is used only if there is no other, and for a new
     /// request only as far as the links can carry the traffic of all routers.
     fn find_path(&self) -> Option<Path> {
-        let avoiding = |excluded: &[String], willing, crosses| {
+        let avoiding = |excluded: &[String], accepting, may_cross_links| {
             let tokens = self.call.tokens;
-            route::find(self.state, self.service, self.model, tokens, excluded, willing, crosses)
+            route::find(
+                self.state,
+                self.service,
+                self.model,
+                tokens,
+                excluded,
+                accepting,
+                may_cross_links,
+            )
         };
-        let find = |willing, crosses| avoiding(&self.excluded, willing, crosses);
+        let find =
+            |accepting, may_cross_links| avoiding(&self.excluded, accepting, may_cross_links);
         // The number of runs is limited: none is spent on a server that has just broken one if there is another path.
         let cautious = match self.runs.is_empty() {
             true => None,
             false => avoiding(&self.excluded_and_breaking(), true, false),
         };
-        let crossing = |willing| {
-            let path = find(willing, true)?;
+        let crossing = |accepting| {
+            let path = find(accepting, true)?;
             let wants = !self.counted_for_link.replace(true);
             let new = self.last_event.is_none() && self.tries == 0;
             (!new || path.may_cross(self.state, self.random, wants)).then_some(path)
         };
-        let willing = cautious.or_else(|| find(true, false)).or_else(|| crossing(true));
+        let accepting = cautious.or_else(|| find(true, false)).or_else(|| crossing(true));
         // If there is no path without them, servers that declined lately may accept a stream that has begun. A new
         // request is refused instead: most are declined again and would then be sent elsewhere out of the retry budget.
         match self.last_event {
-            Some(_) => willing.or_else(|| find(false, false)).or_else(|| crossing(false)),
-            None => willing,
+            Some(_) => accepting.or_else(|| find(false, false)).or_else(|| crossing(false)),
+            None => accepting,
         }
     }
 
@@ -313,7 +322,8 @@
             let (need, fields) = (self.need(), self.fields(&path, &id));
             let sending = exchange::send(state, &peer, call, need, fields, call.deadline);
             tokio::pin!(sending);
-            let mut wait = self.call.route.goal.mul_f64(FIRST_CHECK_FRACTION).max(MIN_SILENCE);
+            let mut wait =
+                self.call.route.goal.mul_f64(FIRST_EVENT_CHECK_FRACTION).max(MIN_SILENCE);
             let mut silent = false;
             loop {
                 let until = started + wait;
@@ -329,13 +339,16 @@
                     wait += SILENCE_CHECK_INTERVAL;
                     self.check_path(&path).await;
                 }
-                let lost = path.is_suspected(self.state.now());
+                let suspected = path.is_suspected(self.state.now());
                 // Servers that stay on the path need no second prefill, and a repath uses no retry.
-                if lost && (due || !silent) && self.repath(&mut path, Crossing::IMMEDIATE).await {
+                if suspected
+                    && (due || !silent)
+                    && self.repath(&mut path, Crossing::IMMEDIATE).await
+                {
                     silent = false;
                     continue;
                 }
-                silent = (lost || wait > MAX_SILENCE) && self.may_run_again().await;
+                silent = (suspected || wait > MAX_SILENCE) && self.may_run_again().await;
                 if !silent {
                     continue;
                 }
--- a/crates/gateway/src/stream/watch.rs
+++ b/crates/gateway/src/stream/watch.rs
@@ -32,8 +32,8 @@
         loop {
             let (last, until) = (self.last_event, self.call.deadline);
             let due = source.since + wait;
-            let came = tokio::select! {
-                came = timeout_at(due, source.event(last, until)) => came,
+            let outcome = tokio::select! {
+                outcome = timeout_at(due, source.event(last, until)) => outcome,
                 () = self.state.lost.notified() => {
                     let overdue = source.pause.mul_f64(OVERDUE_FACTOR);
                     match source.path.is_suspected(self.state.now()) {
@@ -44,7 +44,7 @@
                     continue;
                 }
             };
-            match came {
+            match outcome {
                 Ok(next) => return next,
                 // Part of an event was received meanwhile.
                 Err(_) if source.since + wait > due => {
@@ -78,9 +78,9 @@
         loop {
             if Instant::now() >= next_check {
                 next_check = Instant::now() + SILENCE_CHECK_INTERVAL;
-                let lost = source.path.is_suspected(self.state.now());
-                let lost = lost || self.check_path(&source.path).await;
-                if lost && self.repath(&mut source.path, crossing).await {
+                let suspected = source.path.is_suspected(self.state.now());
+                let suspected = suspected || self.check_path(&source.path).await;
+                if suspected && self.repath(&mut source.path, crossing).await {
                     return self.next_event(source).await;
                 }
                 crossing = Crossing::DEFAULT;
@@ -105,8 +105,8 @@
     /// If none of several servers answers at the same moment, this router itself stalled or is cut off. Treating all of
     /// them as dead would break live streams and leave no path to move them to.
     pub(super) async fn check_path(&mut self, path: &Path) -> bool {
-        let (asked, dead) = probe::find_silent_on_path(self.state, &path.peers).await;
-        if dead.len() > 1 && dead.len() == asked {
+        let (probed, dead) = probe::find_silent_on_path(self.state, &path.peers).await;
+        if dead.len() > 1 && dead.len() == probed {
             log::info!("gateway: request={} silent=all servers={}", self.call.id, dead.len());
             return false;
         }
@@ -131,12 +131,12 @@
     /// sends the order to a suspected first server as well: unless that is known to have ended, it may still be
     /// running.
     pub(super) async fn repath(&mut self, path: &mut Path, crossing: Crossing) -> bool {
-        let last = self.obstacle == Some(Obstacle::Attempts);
-        if !last && path.first().suspicion.borrow().holds(self.state.now()) {
+        let no_attempts_left = self.obstacle == Some(Obstacle::Attempts);
+        if !no_attempts_left && path.first().suspicion.borrow().holds(self.state.now()) {
             self.repath_failure = Some(RepathFailure::FirstSilent);
             return false;
         }
-        let crossing = if last { Crossing::LAST_RESORT } else { crossing };
+        let crossing = if no_attempts_left { Crossing::LAST_RESORT } else { crossing };
         let size = self.call.tokens;
         let found = route::repath(self.state, self.service, self.model, size, path, crossing);
         let Some(mut new_path) = found else {
@@ -144,8 +144,8 @@
             return false;
         };
         new_path.charge(self.state);
-        let ask = (self.state.codec.repath)(&self.call.id, &new_path.hops);
-        let answer = probe::send(new_path.first(), ask, REPATH_TIMEOUT).await;
+        let command = (self.state.codec.repath)(&self.call.id, &new_path.hops);
+        let answer = probe::send(new_path.first(), command, REPATH_TIMEOUT).await;
         let done = answer.as_ref().is_ok_and(|(status, _)| status.is_success());
         log::info!(
             "gateway: request={} repath={done} first={} answer={:?} last_event={:?} path={}",
