--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -125,9 +125,9 @@
 /// Whether another router has just announced the same.
 pub fn was_announced(state: &State, notice: &Notice) -> bool {
     match notice {
-        Notice::Silent { server } => state
-            .peer(server)
-            .is_some_and(|p| p.reported_silent.get().is_some_and(|at| state.now() < at + DUPLICATE_WINDOW)),
+        Notice::Silent { server } => state.peer(server).is_some_and(|p| {
+            p.reported_silent.get().is_some_and(|at| state.now() < at + DUPLICATE_WINDOW)
+        }),
         _ => false,
     }
 }
