--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -44,7 +44,7 @@
     planned: &[Planned],
 ) -> Vec<Planned> {
     let now = state.now();
-    let issued = issued.iter().map(|g| (g.server.as_str(), g.span));
+    let issued = issued.iter().map(|i| (i.server.as_str(), i.span));
     let planned = planned.iter().map(|p| (p.server.as_str(), p.span));
     let mut ordered: Vec<(&str, Span)> = issued.chain(planned).collect();
     ordered.sort_unstable();
@@ -80,7 +80,8 @@
 }
 
 /// Returns how long ago a data centre lost model servers that had not announced to leave. A server that is silent and
-/// still listed may have been lost at any time; it counts for servers that have just started.
+/// still listed may have been lost at any time; it counts as lost before the servers that started a moment ago and are
+/// still kept empty.
 fn recent_losses(state: &State, peers: &[Rc<Peer>], zone: Zone) -> Vec<Duration> {
     let is_local = |server: &Server| server.card.is_some() && route::zone(&server.zone) == zone;
     let gone = state.removed_within(RETURNS).into_iter();
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -75,7 +75,7 @@
     let (sent, until) = (state.now(), state.now() + ANSWER_GRACE);
     let mut issued: Vec<Issued> = Vec::new();
     for record in records.iter().filter_map(|r| serde_json::from_slice::<Record>(r).ok()) {
-        issued.retain(|g| g.server != record.server);
+        issued.retain(|i| i.server != record.server);
         issued.push(Issued {
             server: record.server,
             span: Span::new(record.from, record.to),
@@ -83,7 +83,7 @@
             until,
         });
     }
-    issued.retain(|g| state.peer(&g.server).is_some_and(|p| p.span(state.now()) != g.span));
+    issued.retain(|i| state.peer(&i.server).is_some_and(|p| p.span(state.now()) != i.span));
     issued
 }
 
@@ -220,9 +220,9 @@
 pub(super) async fn update(state: &Rc<State>, peers: &[Rc<Peer>], issued: &mut Vec<Issued>) {
     let now = state.now();
     let open: Vec<Issued> = issued.clone();
-    let asked = open.iter().filter_map(|g| {
-        let peer = peers.iter().find(|p| p.server().id == g.server)?.clone();
-        Some(async move { (g, query(state, &peer).await, peer) })
+    let asked = open.iter().filter_map(|i| {
+        let peer = peers.iter().find(|p| p.server().id == i.server)?.clone();
+        Some(async move { (i, query(state, &peer).await, peer) })
     });
     for (order, report, peer) in futures_util::future::join_all(asked).await {
         let done = match report {
@@ -244,8 +244,8 @@
             }
         };
         if done {
-            issued.retain(|g| g.server != order.server);
+            issued.retain(|i| i.server != order.server);
         }
     }
-    issued.retain(|g| peers.iter().any(|p| p.server().id == g.server));
+    issued.retain(|i| peers.iter().any(|p| p.server().id == i.server));
 }
