--- a/crates/gateway/src/follow/entries.rs
+++ b/crates/gateway/src/follow/entries.rs
@@ -76,8 +76,8 @@
     );
 }
 
-/// Handles a server whose entry is gone. Entries expire while the store is unavailable and are written again soon after;
-/// dropping all of them at once would leave no server to send requests to.
+/// Handles a server whose entry is gone. Entries expire while the store is unavailable and are written again soon
+/// after; dropping all of them at once would leave no server to send requests to.
 fn remove_or_expire(state: &State, id: &Id, regained: bool) {
     let Some(peer) = state.peer(id) else { return };
     if regained && peer.ready() {
