--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -33,7 +33,7 @@
     #[serde(default)]
     pub carried: Option<u64>,
     /// For a carried record: its author had judged every record before this offset when it
-    /// found that version in force. [`State::carry`] fills it in.
+    /// found that version in force. [`State::carried_record`] fills it in.
     #[serde(default)]
     pub judged: u64,
 }
@@ -89,9 +89,9 @@
     /// Nothing decided yet, for a stream whose oldest kept offset is `first_kept`.
     ///
     /// ```
-    /// assert!(!config::change::State::begin(7).knows_base());
+    /// assert!(!config::change::State::starting_at(7).knows_base());
     /// ```
-    pub fn begin(first_kept: u64) -> State {
+    pub fn starting_at(first_kept: u64) -> State {
         let mut state = State::new();
         state.skip(first_kept);
         state
@@ -119,12 +119,12 @@
     /// Never panics: a record that does not decode is refused. Look at `version` afterwards:
     /// a carried record can bring an earlier, pending record into force.
     pub fn judge(&mut self, offset: u64, data: &str) -> Verdict {
-        self.settle(offset, data).pop().map_or(Verdict::Pending, |(_, verdict)| verdict)
+        self.judge_with_pending(offset, data).pop().map_or(Verdict::Pending, |(_, verdict)| verdict)
     }
 
     /// The same, with the verdicts of pending records that this record settles, in the order
     /// of the stream; the record's own is the last.
-    pub fn settle(&mut self, offset: u64, data: &str) -> Vec<(u64, Verdict)> {
+    pub fn judge_with_pending(&mut self, offset: u64, data: &str) -> Vec<(u64, Verdict)> {
         if offset < self.next {
             return vec![(offset, Verdict::Refused("already read".into()))];
         }
@@ -153,7 +153,7 @@
     /// A record that keeps the version in force from expiring. `None` while this process
     /// can't judge. Version 0 is carried as well: else nobody who starts after the first
     /// refused records have expired could judge the first good one.
-    pub fn carry(&self, id: &str, author: &str) -> Option<Change> {
+    pub fn carried_record(&self, id: &str, author: &str) -> Option<Change> {
         let (version, text) = self.judged.as_ref()?;
         Some(Change {
             id: id.to_string(),
@@ -168,7 +168,7 @@
 
     /// A record that starts the stream anew when nobody knows a base any more. It counts only
     /// where it is the very next record, and only for processes that know of no version.
-    pub fn anew(&self, id: &str, author: &str, reason: &str, text: &str) -> Change {
+    pub fn restart_record(&self, id: &str, author: &str, reason: &str, text: &str) -> Change {
         Change {
             id: id.to_string(),
             base: 0,
--- a/crates/config/tests/change.rs
+++ b/crates/config/tests/change.rs
@@ -69,11 +69,11 @@
 // may be the loser of a race; were it taken, this VM alone would run other settings.
 #[test]
 fn a_late_starter_waits_for_a_carried_record_and_then_agrees() {
-    let mut late = State::begin(5);
+    let mut late = State::starting_at(5);
     assert_eq!(late.judge(5, &json(&change(3, &text(2)))), Verdict::Pending);
     assert_eq!(late.judge(6, &json(&change(4, &text(3)))), Verdict::Pending);
     assert!(!late.knows_base());
-    let settled = late.settle(7, &json(&carried(4, 5, &text(1))));
+    let settled = late.judge_with_pending(7, &json(&carried(4, 5, &text(1))));
     assert!(matches!(settled[0], (5, Verdict::Refused(_))));
     assert_eq!(settled[1], (6, Verdict::Accepted(7)));
     assert!(matches!(settled[2], (7, Verdict::Refused(_))));
@@ -84,11 +84,11 @@
 // and a change that nobody can read any more may have come after it.
 #[test]
 fn a_carried_record_from_before_the_gap_tells_nothing() {
-    let mut late = State::begin(5);
+    let mut late = State::starting_at(5);
     assert_eq!(late.judge(5, &json(&carried(2, 4, &text(1)))), Verdict::Pending);
     assert_eq!(late.judge(6, &json(&change(2, &text(2)))), Verdict::Pending);
     assert_eq!((late.version, late.knows_base()), (0, false));
-    assert!(late.carry("id", "a").is_none());
+    assert!(late.carried_record("id", "a").is_none());
 }
 
 // A VM is paused for longer than the log keeps its records.
@@ -105,8 +105,8 @@
 // also for a process that had seen that nothing was in force.
 #[test]
 fn of_two_fresh_starts_the_first_counts_for_all() {
-    let empty = State::begin(5);
-    let [first, second] = [1, 2].map(|n| json(&empty.anew("id", "a", "r", &text(n))));
+    let empty = State::starting_at(5);
+    let [first, second] = [1, 2].map(|n| json(&empty.restart_record("id", "a", "r", &text(n))));
     let mut witness = State::new();
     for offset in 0..5 {
         witness.judge(offset, "garbage");
@@ -116,7 +116,7 @@
         assert_eq!(reason(state.judge(6, &second)), "not the text of version 6");
         assert_eq!((state.version, state.text), (6, text(1)));
     }
-    let mut late = State::begin(6);
+    let mut late = State::starting_at(6);
     assert!(matches!(late.judge(6, &second), Verdict::Refused(_)));
     assert_eq!((late.version, late.knows_base()), (0, false));
 }
@@ -129,7 +129,7 @@
 #[case::judged_what_was_to_come(carried(3, 9, &text(1)))]
 #[case::faulty(carried(3, 5, "[what]\n"))]
 fn a_carried_record_that_can_not_be_true_is_refused(#[case] record: Change) {
-    let mut late = State::begin(5);
+    let mut late = State::starting_at(5);
     assert!(matches!(late.judge(5, &json(&record)), Verdict::Refused(_)));
     assert_eq!((late.version, late.knows_base()), (0, false));
 }
@@ -140,11 +140,11 @@
 fn a_fresh_start_is_newer_than_all_before() {
     let mut state = State::new();
     state.judge(0, &json(&change(0, &text(1))));
-    let anew = State::begin(1).anew("id", "a", "r", &text(2));
+    let anew = State::starting_at(1).restart_record("id", "a", "r", &text(2));
     let mut paused = state.clone();
     assert!(matches!(state.judge(1, &json(&anew)), Verdict::Refused(_)), "it knew the base");
     paused.skip(3);
-    let anew = State::begin(3).anew("id", "a", "r", &text(2));
+    let anew = State::starting_at(3).restart_record("id", "a", "r", &text(2));
     assert_eq!(paused.judge(3, &json(&anew)), Verdict::Carried(4));
     assert_eq!((paused.version, paused.text), (4, text(2)));
 }
@@ -252,7 +252,7 @@
             let offset = state.next;
             let Some(data) = self.log.get(offset as usize) else { return };
             let before = state.version;
-            let verdicts = state.settle(offset, data);
+            let verdicts = state.judge_with_pending(offset, data);
             assert!(state.version >= before, "a version reverted");
             for (at, verdict) in verdicts {
                 let known = self.accepted.iter().any(|(v, _)| *v == at + 1);
@@ -273,7 +273,7 @@
             Step::Guess(base) => self.publish(base),
             Step::Garbage => self.append("garbage".into()),
             Step::Carry(i) => {
-                self.delayed.extend(self.processes[i].carry("c", "d").as_ref().map(json))
+                self.delayed.extend(self.processes[i].carried_record("c", "d").as_ref().map(json))
             }
             Step::Arrive if self.delayed.is_empty() => {}
             Step::Arrive => {
@@ -282,7 +282,7 @@
             }
             Step::Read(i, count) => self.read(i, count),
             Step::Expire(count) => self.first = (self.first + count).min(self.log.len() as u64),
-            Step::Start(i) => self.processes[i] = State::begin(self.first),
+            Step::Start(i) => self.processes[i] = State::starting_at(self.first),
             Step::Adopt(i, j) => {
                 let (version, text) = (self.processes[j].version, self.processes[j].text.clone());
                 let before = self.processes[i].version;
@@ -304,7 +304,7 @@
             world.run(step);
         }
         // A process that knows everything keeps the version from expiring.
-        let carry = world.witness.carry("c", "d").unwrap();
+        let carry = world.witness.carried_record("c", "d").unwrap();
         world.append(json(&carry));
         for i in 0..PROCESSES {
             world.read(i, u64::MAX >> 1);
--- a/crates/ctl/src/cmd/publish.rs
+++ b/crates/ctl/src/cmd/publish.rs
@@ -98,7 +98,7 @@
             "version {version} is in force: publish without --restart"
         )));
     }
-    let change = stream.state.anew(&id(), &args.author, &args.reason, &text);
+    let change = stream.state.restart_record(&id(), &args.author, &args.reason, &text);
     let until = Instant::now() + Duration::from_secs(args.wait);
     append(&stream, &change).await?;
     match read_back(&mut stream, &change, until).await?.verdict {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -106,7 +106,7 @@
             change: serde_json::from_str(&record.data).ok(),
             verdict: Verdict::Pending,
         });
-        for (offset, verdict) in self.state.settle(record.offset, &record.data) {
+        for (offset, verdict) in self.state.judge_with_pending(record.offset, &record.data) {
             if let Ok(i) = self.lines.binary_search_by_key(&offset, |line| line.offset) {
                 self.lines[i].verdict = verdict;
             }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -160,7 +160,7 @@
     fn take(&mut self, page: cloud::log::Page) {
         self.state.skip(page.first);
         for record in &page.records {
-            for (offset, verdict) in self.state.settle(record.offset, &record.data) {
+            for (offset, verdict) in self.state.judge_with_pending(record.offset, &record.data) {
                 self.judged(offset, verdict);
             }
             // What a late starter can take up is the same for a process that can judge.
@@ -196,7 +196,7 @@
         }
         self.carry_at = carry_at();
         let id = format!("{}-{}", self.vm, self.state.next);
-        let Some(change) = self.state.carry(&id, &self.vm) else { return };
+        let Some(change) = self.state.carried_record(&id, &self.vm) else { return };
         let data = serde_json::to_string(&change).expect("plain data encodes");
         match self.log.append(change::STREAM, &data).await {
             Ok(_) => log::info!("settings: version {} is kept from expiring", self.state.version),
