--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,76 +1,76 @@
-//! The order of changes: every process reads the same stream and judges each
-//! record by the same pure function, so all agree without a coordinator.
+//! Decides which settings changes take effect. Every process reads the same stream and judges
+//! each record with the same pure function, so all processes agree without a coordinator.
 //!
-//! Records expire, so a process that starts late can't read how the version in
-//! force came about. It judges nothing until a *carried* record tells it which
-//! version was in force at an offset it has not missed; from there on it judges
-//! like everyone else. `docs/design/settings.md` has the argument.
+//! Records expire, so a process that starts late can't derive the version in force from the
+//! stream alone. It judges nothing until it reads a *carried* record, which states the version
+//! in force at an offset that the process has not missed; from then on it judges like the
+//! others. `docs/design/settings.md` explains why this is safe.
 
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::{self, Fleet};
 
-/// Name of the stream.
+/// Name of the settings stream in the log service.
 pub const STREAM: &str = "settings";
 
-/// Why a carried record is refused that can't say the truth.
-const NO_VERSION: &str = "carries no version that can have been in force";
+/// Reason for refusing a carried record whose version can't have been in force.
+const IMPOSSIBLE_VERSION: &str = "carries no version that can have been in force";
 
-/// A change as it stands in the stream, encoded as JSON.
+/// A record of the settings stream, encoded as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// Unique id chosen by the publisher, by which it finds its own record.
+    /// Unique id chosen by the publisher, which identifies its own record when it reads it back.
     pub id: String,
-    /// Version it was made from.
+    /// Version that the change was made from.
     pub base: u64,
-    /// Who made it.
+    /// Author of the change.
     pub author: String,
-    /// Why.
+    /// Reason for the change.
     pub reason: String,
-    /// The whole new text of the fleet settings.
+    /// Complete new text of the fleet settings.
     pub text: String,
-    /// For a record that keeps an accepted version from expiring: that version.
+    /// In a carried record, which keeps an accepted version from expiring: that version.
     #[serde(default)]
     pub carried: Option<u64>,
-    /// For a carried record: its author had judged every record before this offset when it
-    /// found that version in force. [`State::carried_record`] fills it in.
+    /// In a carried record: the version was in force after its author had judged every record
+    /// before this offset. Set by [`State::carried_record`].
     #[serde(default)]
     pub judged: u64,
 }
 
-/// What became of a record.
+/// Outcome of a record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// It is in force from now on, under this version.
+    /// Takes effect, as this version.
     Accepted(u64),
-    /// It only repeats the version in force.
+    /// Repeats the version in force.
     Carried(u64),
-    /// It is not in force, for this reason.
+    /// Has no effect, for this reason.
     Refused(String),
-    /// This process can't judge it yet: records before it have expired unread.
+    /// Can't be judged yet by this process, because records before it expired unread.
     Pending,
 }
 
-/// What has been decided so far.
+/// Settings in force and position in the stream of one process.
 #[derive(Debug, Clone, PartialEq)]
 pub struct State {
-    /// Version in force; 0 when there is none. It only rises.
+    /// Version in force; 0 when there is none. Never decreases.
     pub version: u64,
-    /// Its text.
+    /// Text of that version.
     pub text: String,
-    /// Its checked settings.
+    /// Settings read from that text.
     pub fleet: Fleet,
-    /// Next offset to read.
+    /// Next offset to read from the stream.
     pub next: u64,
-    /// Version and text in force in the stream just before `next`, when that is known. It
-    /// lags `version` when a peer that has read further was asked.
-    judged: Option<(u64, String)>,
-    /// Records read since the last gap, kept until a base is known.
+    /// Version and text in force just before offset `next`, if known. Older than `version`
+    /// after a version was adopted from a peer that had read further.
+    base: Option<(u64, String)>,
+    /// Records read since the last gap, kept until the base is known.
     pending: Vec<(u64, String)>,
 }
 
 impl State {
-    /// Nothing decided yet, at the start of a stream from which nothing has expired.
+    /// Returns the state at the start of a stream from which nothing has expired.
     ///
     /// ```
     /// assert!(config::change::State::new().knows_base());
@@ -81,12 +81,12 @@
             text: String::new(),
             fleet: Fleet::empty(),
             next: 0,
-            judged: Some((0, String::new())),
+            base: Some((0, String::new())),
             pending: vec![],
         }
     }
 
-    /// Nothing decided yet, for a stream whose oldest kept offset is `first_kept`.
+    /// Returns the state at the start of a stream whose oldest kept offset is `first_kept`.
     ///
     /// ```
     /// assert!(!config::change::State::starting_at(7).knows_base());
@@ -97,47 +97,47 @@
         state
     }
 
-    /// Notes the oldest kept offset, which every page of the log tells. When records have
-    /// expired unread, the base is no longer known, whatever is in force stays.
+    /// Records the oldest kept offset, which every page of the log states. If records expired
+    /// unread, the base is no longer known; the settings in force stay.
     ///
-    /// A paused process that went on judging after such a gap could accept a change that the
-    /// others refuse: it would run other settings than the rest of the fleet for good.
+    /// A paused process that kept judging after such a gap could accept a change that the
+    /// others refuse, and would then run different settings from the rest of the fleet for good.
     pub fn skip(&mut self, first_kept: u64) {
         if first_kept > self.next {
             self.next = first_kept;
-            self.judged = None;
+            self.base = None;
             self.pending.clear();
         }
     }
 
-    /// True when plain changes can be judged; a daemon is not ready before.
+    /// Returns whether changes can be judged; a daemon is not ready until then.
     pub fn knows_base(&self) -> bool {
-        self.judged.is_some()
+        self.base.is_some()
     }
 
     /// Judges the record at `offset`. The version of an accepted change is its offset plus one.
-    /// Never panics: a record that does not decode is refused. Look at `version` afterwards:
-    /// a carried record can bring an earlier, pending record into force.
+    /// Never panics: a record that does not decode is refused. Callers must check `version`
+    /// afterwards, because a carried record can bring an earlier, pending record into force.
     pub fn judge(&mut self, offset: u64, data: &str) -> Verdict {
         self.judge_with_pending(offset, data).pop().map_or(Verdict::Pending, |(_, verdict)| verdict)
     }
 
-    /// The same, with the verdicts of pending records that this record settles, in the order
-    /// of the stream; the record's own is the last.
+    /// Like [`judge`](State::judge), but also returns the verdicts of pending records that
+    /// this record decides, in stream order; the record's own verdict is last.
     pub fn judge_with_pending(&mut self, offset: u64, data: &str) -> Vec<(u64, Verdict)> {
         if offset < self.next {
             return vec![(offset, Verdict::Refused("already read".into()))];
         }
         self.skip(offset);
         self.next = offset.saturating_add(1);
-        match self.judged.is_some() {
+        match self.base.is_some() {
             true => vec![(offset, self.decide(offset, data))],
-            false => self.wait(offset, data),
+            false => self.defer(offset, data),
         }
     }
 
-    /// Takes over a version from a peer, when it is newer than the one in force. The version
-    /// has to check; it does not by itself make this process able to judge.
+    /// Adopts a version from a peer if it is newer than the one in force and its text is
+    /// valid. Does not make the base known.
     pub fn adopt(&mut self, version: u64, text: &str) -> bool {
         match fleet::parse(STREAM, text) {
             Ok(fleet) if version > self.version => {
@@ -150,11 +150,11 @@
         }
     }
 
-    /// A record that keeps the version in force from expiring. `None` while this process
-    /// can't judge. Version 0 is carried as well: else nobody who starts after the first
-    /// refused records have expired could judge the first good one.
+    /// Returns a record that keeps the version in force from expiring, or `None` while the
+    /// base is not known. Version 0 is carried as well: otherwise a process that starts after
+    /// the first refused records expired could not judge the first valid one.
     pub fn carried_record(&self, id: &str, author: &str) -> Option<Change> {
-        let (version, text) = self.judged.as_ref()?;
+        let (version, text) = self.base.as_ref()?;
         Some(Change {
             id: id.to_string(),
             base: *version,
@@ -166,8 +166,8 @@
         })
     }
 
-    /// A record that starts the stream anew when nobody knows a base any more. It counts only
-    /// where it is the very next record, and only for processes that know of no version.
+    /// Returns a record that restarts the stream when no process knows the base any more. It
+    /// is valid only at offset `next`, and only for processes that have judged no version.
     pub fn restart_record(&self, id: &str, author: &str, reason: &str, text: &str) -> Change {
         Change {
             id: id.to_string(),
@@ -180,17 +180,17 @@
         }
     }
 
-    /// Judges a record with a known base.
+    /// Judges a record against the known base.
     fn decide(&mut self, offset: u64, data: &str) -> Verdict {
-        let Some((version, text)) = &self.judged else { return Verdict::Pending };
+        let Some((version, text)) = &self.base else { return Verdict::Pending };
         let change = match decode(data) {
             Ok(change) => change,
             Err(reason) => return Verdict::Refused(reason),
         };
         match change.carried {
             Some(v) if v == *version && change.text == *text => Verdict::Carried(v),
-            // A fleet that was gone for longer than the log keeps records starts anew.
-            Some(v) if *version == 0 && v > 0 && carries(&change, v, offset) => {
+            // Restart of a fleet that was down for longer than the log keeps records.
+            Some(v) if *version == 0 && v > 0 && is_possible(&change, v, offset) => {
                 self.accept(v, change.text);
                 Verdict::Carried(v)
             }
@@ -209,12 +209,12 @@
 
     fn accept(&mut self, version: u64, text: String) -> Verdict {
         self.adopt(version, &text);
-        self.judged = Some((version, text));
+        self.base = Some((version, text));
         Verdict::Accepted(version)
     }
 
-    /// Keeps a record that can't be judged, and looks whether it tells the base.
-    fn wait(&mut self, offset: u64, data: &str) -> Vec<(u64, Verdict)> {
+    /// Keeps a record that can't be judged yet, and judges all kept records if it states the base.
+    fn defer(&mut self, offset: u64, data: &str) -> Vec<(u64, Verdict)> {
         let oldest = self.pending.first().map_or(offset, |(first, _)| *first);
         self.pending.push((offset, data.to_string()));
         let change = match decode(data) {
@@ -222,22 +222,22 @@
             Err(reason) => return vec![(offset, Verdict::Refused(reason))],
         };
         let Some(version) = change.carried else { return vec![(offset, Verdict::Pending)] };
-        match carries(&change, version, offset) {
-            false => vec![(offset, Verdict::Refused(NO_VERSION.into()))],
-            // Records between what its author had judged and the oldest one read here have
-            // expired unread; one of them may have brought a newer version.
+        match is_possible(&change, version, offset) {
+            false => vec![(offset, Verdict::Refused(IMPOSSIBLE_VERSION.into()))],
+            // Records between the author's position and the oldest one read here expired
+            // unread; one of them may have brought a newer version into force.
             true if change.judged < oldest => vec![(offset, Verdict::Pending)],
             true => self.replay(version, change.text, change.judged),
         }
     }
 
-    /// Judges the pending records from `start` on, before which `version` was in force.
+    /// Judges the pending records from offset `start` on, given that `version` was in force before it.
     fn replay(&mut self, version: u64, text: String, start: u64) -> Vec<(u64, Verdict)> {
         self.adopt(version, &text);
-        self.judged = Some((version, text));
+        self.base = Some((version, text));
         let pending = std::mem::take(&mut self.pending);
-        let known = pending.into_iter().filter(|(offset, _)| *offset >= start);
-        known.map(|(offset, data)| (offset, self.decide(offset, &data))).collect()
+        let judgeable = pending.into_iter().filter(|(offset, _)| *offset >= start);
+        judgeable.map(|(offset, data)| (offset, self.decide(offset, &data))).collect()
     }
 }
 
@@ -247,13 +247,13 @@
     }
 }
 
-/// True when a carried record can say the truth: the version was there before its author
-/// had judged, and the author had judged before the record was appended; or it starts the
-/// stream anew, under the version that any accepted record at its offset has.
-fn carries(change: &Change, version: u64, offset: u64) -> bool {
-    let anew = change.judged == offset && version == offset.saturating_add(1);
-    let known = version <= change.judged && change.judged <= offset;
-    (anew || known) && fleet::parse(STREAM, &change.text).is_ok()
+/// Returns whether a carried record is consistent: its version is not newer than its author's
+/// position, which is not after the record itself; or it restarts the stream, with the version
+/// that an accepted record at its offset has.
+fn is_possible(change: &Change, version: u64, offset: u64) -> bool {
+    let restarts = change.judged == offset && version == offset.saturating_add(1);
+    let repeats = version <= change.judged && change.judged <= offset;
+    (restarts || repeats) && fleet::parse(STREAM, &change.text).is_ok()
 }
 
 fn decode(data: &str) -> Result<Change, String> {
--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -1,27 +1,27 @@
-//! What is wrong with a settings file.
+//! Errors in settings files.
 
 use derive_more::{Display, Error};
 
-/// One wrong setting.
+/// One invalid setting.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{file}: [{section}] {key}: found '{found}', allowed: {allowed}")]
 pub struct Fault {
-    /// File, or the name of the stream.
+    /// Path of the file, or name of the stream.
     pub file: String,
-    /// Section.
+    /// Title of the section.
     pub section: String,
     /// Key; empty when the whole section is wrong.
     pub key: String,
-    /// What stands there.
+    /// Value found.
     pub found: String,
-    /// What may stand there.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
-/// All that is wrong with a settings file, in its order.
+/// All faults of a settings file, in the order of the file.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct Faults {
-    /// The faults; at least one.
+    /// Faults; never empty.
     #[error(not(source))]
     pub list: Vec<Fault>,
 }
--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings of the fleet: one set of defaults, and exceptions that each carry a reason.
+//! Settings of the fleet: one set of defaults, and exceptions that each state a reason.
 
 use std::path::Path;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 
 pub use difference::{Difference, diff};
 
-/// Settings of the fleet as they are in force.
+/// Settings of the fleet, with exceptions applied.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fleet {
-    /// What holds everywhere.
+    /// Defaults.
     pub defaults: Defaults,
     /// Models, sorted by name.
     pub models: Vec<Model>,
@@ -27,134 +27,134 @@
     pub services: Vec<Service>,
     /// Workspaces, sorted by name.
     pub workspaces: Vec<Workspace>,
-    /// Engines' VMs whose engines check fencing numbers, sorted.
-    pub fenced: Vec<String>,
+    /// VMs whose engines check fencing tokens, sorted.
+    pub fencing_vms: Vec<String>,
     /// Exceptions, sorted by name.
     pub exceptions: Vec<Exception>,
-    /// Hash of each workspace's key and its place in `workspaces`, sorted: a linear search
-    /// over hundreds of workspaces on each request would show in the router's time.
+    /// Hash of each workspace's key and its index in `workspaces`, sorted for binary search: a
+    /// linear search through hundreds of workspaces on each request would slow down the router.
     keys: Vec<(String, usize)>,
 }
 
-/// What the fleet favours when the two can't both be had.
+/// Goal that the fleet prefers where two goals conflict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Objective {
-    /// Throughput against the bound (Dala).
+    /// Throughput relative to its upper bound (as at Dala).
     Throughput,
-    /// Recovery time (Tsehay).
+    /// Recovery time (as at Tsehay).
     Recovery,
 }
 
-/// What holds everywhere but where an exception says otherwise.
+/// Values that apply except where an exception overrides them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Defaults {
-    /// What is favoured.
+    /// Preferred goal.
     pub objective: Objective,
-    /// Deadline of a request whose caller names none.
+    /// Deadline of a request whose caller gives none.
     pub deadline: Duration,
-    /// Longest deadline a caller may name.
+    /// Longest deadline that a caller may give.
     pub deadline_max: Duration,
-    /// Generated tokens of a draft at most.
+    /// Limit of generated tokens of a draft.
     pub max_tokens: u32,
-    /// Body of a request in bytes at most.
+    /// Limit of the body of a request, in bytes.
     pub body_limit: usize,
-    /// Requests a workspace may have waiting at a router.
+    /// Limit of requests of a workspace that wait at one router.
     pub queue_limit: u32,
-    /// Silence after which a step is given up and its stage replaced.
+    /// Time without an answer after which a step is abandoned and its stage replaced.
     pub step_timeout: Duration,
-    /// How often an agent reports at least.
+    /// Longest interval between two reports of an agent.
     pub report_interval: Duration,
-    /// How long a finished draft can be asked for again.
+    /// How long a finished draft can be fetched again.
     pub keep_finished: Duration,
-    /// How long the key of a write is remembered; shorter than the log's retention.
+    /// How long the idempotency key of a write is kept; shorter than the log's retention.
     pub key_window: Duration,
     /// How long a fingerprint stays in quarantine.
     pub quarantine: Duration,
-    /// How long a daemon that was told to stop waits for its requests.
+    /// How long a daemon that is shutting down waits for its requests.
     pub drain: Duration,
 }
 
-/// A model and how it is cut into ranges.
+/// A model and its division into ranges of layers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
     /// Its name.
     pub name: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: u32,
     /// Number of layers.
     pub layers: u32,
-    /// First and last layer of each range; together they hold each layer once.
+    /// First and last layer of each range, in order; each layer is in exactly one range.
     pub ranges: Vec<(u32, u32)>,
 }
 
-/// A plain service and its contract.
+/// A plain service and its contract, which states what each route promises.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: String,
     /// Path prefix at the routers, such as `/filing`.
     pub prefix: String,
-    /// Routes in the order of the file; the first that fits counts.
+    /// Routes in the order of the file; the first match applies.
     pub routes: Vec<Route>,
 }
 
-/// One line of a contract.
+/// A route of a service's contract.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// HTTP method.
     pub method: String,
-    /// Path without the prefix; `*` stands for one segment.
+    /// Path without the prefix; `*` matches one segment.
     pub path: String,
-    /// What it promises.
+    /// Class of the calls that match.
     pub class: Class,
 }
 
-/// What a route promises.
+/// Effect of a call, which decides whether it may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     /// Changes nothing.
     ReadOnly,
-    /// May be repeated without harm.
+    /// May run more than once without harm.
     Idempotent,
     /// Must run at most once for each key.
     NonIdempotent,
 }
 
-/// Who may ask.
+/// A workspace, whose callers may send requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
     /// Its name.
     pub name: String,
-    /// SHA-256 of its bearer key in lower-case hex.
+    /// SHA-256 of the bearer key, in lower-case hex.
     pub key_sha256: String,
-    /// Weight among the workspaces under load.
+    /// Weight in the division of capacity among workspaces under load.
     pub share: u32,
-    /// Priority of its requests, 0 to 9; higher is served first.
+    /// Priority of the requests, 0 to 9; higher is served first.
     pub priority: u8,
-    /// Deadline of its requests where the caller names none.
+    /// Deadline of a request whose caller gives none.
     pub deadline: Duration,
-    /// Generated tokens of its drafts at most.
+    /// Limit of generated tokens of a draft.
     pub max_tokens: u32,
-    /// Requests it may have waiting at a router.
+    /// Limit of requests that wait at one router.
     pub queue_limit: u32,
 }
 
-/// A departure from the defaults; it is applied when the settings are read.
+/// An override of a default for one workspace, applied when the settings are read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Exception {
     /// Its name.
     pub name: String,
-    /// `workspace NAME`.
+    /// Target, written `workspace NAME`.
     pub target: String,
-    /// Which default.
+    /// Name of the setting.
     pub setting: String,
-    /// Its value here.
+    /// Value of the setting for the target.
     pub value: String,
-    /// Why.
+    /// Reason.
     pub reason: String,
 }
 
-/// Reads and checks a text; `file` names it in faults. Exceptions are already applied.
+/// Reads and checks a text, and applies its exceptions; `file` names it in faults.
 ///
 /// ```
 /// let text = "[model draft]\nversion = 1\nlayers = 8\nranges = 0-3, 4-7\n";
@@ -171,11 +171,11 @@
 /// assert!(config::fleet::load(std::path::Path::new("no-such-file.ini")).is_err());
 /// ```
 pub fn load(path: &Path) -> Result<Fleet, Faults> {
-    parse(&path.display().to_string(), &reader::text(path)?)
+    parse(&path.display().to_string(), &reader::read_file(path)?)
 }
 
 impl Fleet {
-    /// Settings before any were published: no model, no workspace, no service.
+    /// Returns the settings in force before any are published, without models, workspaces or services.
     ///
     /// ```
     /// assert!(config::fleet::Fleet::empty().workspace("any key").is_none());
@@ -186,13 +186,13 @@
             models: vec![],
             services: vec![],
             workspaces: vec![],
-            fenced: vec![],
+            fencing_vms: vec![],
             exceptions: vec![],
             keys: vec![],
         }
     }
 
-    /// The workspace whose bearer key this is.
+    /// Returns the workspace with this bearer key.
     ///
     /// ```
     /// let sha = config::fleet::hash("made-up key");
@@ -206,15 +206,15 @@
         Some(&self.workspaces[self.keys[i].1])
     }
 
-    /// The model by name.
+    /// Returns the model with this name.
     pub fn model(&self, name: &str) -> Option<&Model> {
         let i = self.models.binary_search_by(|m| m.name.as_str().cmp(name)).ok()?;
         Some(&self.models[i])
     }
 
-    /// The service whose prefix the path starts with, and the path after the prefix.
-    /// The prefix ends where the path ends, or before a `/` or a `?`; of nested prefixes
-    /// the longest counts.
+    /// Returns the service whose prefix the path starts with, and the path after the prefix.
+    /// A prefix matches up to the end of the path or up to a `/` or `?`; of nested prefixes
+    /// the longest applies.
     ///
     /// ```
     /// let text = "[service filing]\nprefix = /filing\n";
@@ -223,13 +223,13 @@
     /// assert!(fleet.service("/filings").is_none());
     /// ```
     pub fn service<'a>(&self, path: &'a str) -> Option<(&Service, &'a str)> {
-        let fits = |service: &&Service| contract::after(&service.prefix, path).is_some();
-        let service = self.services.iter().filter(fits).max_by_key(|s| s.prefix.len())?;
-        Some((service, contract::after(&service.prefix, path)?))
+        let matches = |service: &&Service| contract::strip_prefix(&service.prefix, path).is_some();
+        let service = self.services.iter().filter(matches).max_by_key(|s| s.prefix.len())?;
+        Some((service, contract::strip_prefix(&service.prefix, path)?))
     }
 }
 
-/// SHA-256 of a bearer key in lower-case hex, as `key-sha256` holds it.
+/// Returns the SHA-256 of a bearer key in lower-case hex, as in the setting `key-sha256`.
 ///
 /// ```
 /// assert_eq!(config::fleet::hash("").len(), 64);
@@ -239,16 +239,16 @@
 }
 
 impl Service {
-    /// Class of a call. An unlisted route counts as read-only for GET and HEAD,
-    /// and as not idempotent for every other method.
+    /// Returns the class of a call. A call that matches no route is read-only for GET and HEAD,
+    /// and not idempotent for every other method.
     ///
-    /// The query string is not looked at. A HEAD also fits the routes of GET, since servers
-    /// run the same handler for both. Routes are compared with plain paths only: each segment
-    /// is made of ASCII letters, digits and `-._~:@`, and none is empty, `.` or `..`. Any
-    /// other path (`//`, a `/` at the end, percent-encoding, dot segments) fits no route,
-    /// because the service may read it as another route than this function would. It counts
-    /// as not idempotent, except a GET or HEAD to a service all of whose GET and HEAD routes
-    /// are read-only: whichever route the service takes it for, it changes nothing.
+    /// The query string is ignored. A HEAD also matches the routes of GET, since servers run
+    /// the same handler for both. Only plain paths are matched with routes: each segment
+    /// consists of ASCII letters, digits and `-._~:@`, and none is empty, `.` or `..`. Any
+    /// other path (`//`, a `/` at the end, percent-encoding, dot segments) matches no route,
+    /// because the service may resolve it to a different route than this function would. It is
+    /// treated as not idempotent, except a GET or HEAD to a service whose GET and HEAD routes
+    /// are all read-only: whichever route the service resolves it to, it changes nothing.
     ///
     /// ```
     /// use config::fleet::Class;
--- a/crates/config/src/fleet/defaults.rs
+++ b/crates/config/src/fleet/defaults.rs
@@ -1,52 +1,52 @@
-//! Values that hold where `[defaults]` is silent, and the bounds of each value.
+//! Values of settings that `[defaults]` leaves out, and bounds of the settings.
 
 use std::time::Duration;
 
 use super::{Defaults, Objective};
 
-/// A request whose caller names no deadline.
+/// Deadline of a request whose caller gives none.
 pub const DEADLINE: Duration = Duration::from_secs(30);
-/// Longest deadline a caller may name.
+/// Longest deadline that a caller may give.
 pub const DEADLINE_MAX: Duration = Duration::from_secs(300);
-/// Generated tokens of a draft.
+/// Limit of generated tokens of a draft.
 pub const MAX_TOKENS: u32 = 512;
-/// Body of a request in bytes.
+/// Limit of the body of a request, in bytes.
 pub const BODY_LIMIT: usize = 1 << 20;
-/// Requests a workspace may have waiting at a router.
+/// Limit of requests of a workspace that wait at one router.
 pub const QUEUE_LIMIT: u32 = 200;
-/// Silence after which a step is given up.
+/// Time without an answer after which a step is abandoned.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often an agent reports at least.
+/// Longest interval between two reports of an agent.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a finished draft can be asked for again.
+/// How long a finished draft can be fetched again.
 pub const KEEP_FINISHED: Duration = Duration::from_secs(60);
-/// How long the key of a write is remembered.
+/// How long the idempotency key of a write is kept.
 pub const KEY_WINDOW: Duration = Duration::from_secs(3600);
 /// How long a fingerprint stays in quarantine.
 pub const QUARANTINE: Duration = Duration::from_secs(600);
-/// How long a daemon that was told to stop waits for its requests.
+/// How long a daemon that is shutting down waits for its requests.
 pub const DRAIN: Duration = Duration::from_secs(30);
-/// Share of a workspace that names none.
+/// Share of a workspace whose section gives none.
 pub const SHARE: u32 = 1;
-/// Priority of a workspace that names none: the middle of 0 to 9.
+/// Priority of a workspace whose section gives none; the middle of 0 to 9.
 pub const PRIORITY: u8 = 5;
 
-/// Longest time any setting may have: a longer one is a wrong unit.
+/// Longest duration of any setting; a longer one is probably a wrong unit.
 pub const TIME_MAX: Duration = Duration::from_secs(24 * 3600);
-/// Most generated tokens a draft may be given.
+/// Largest limit of generated tokens.
 pub const MAX_TOKENS_MAX: u32 = 1 << 20;
-/// Largest body limit in bytes; a body has to fit in a frame with room to spare.
+/// Largest body limit, in bytes; a body has to fit into a frame together with its other fields.
 pub const BODY_LIMIT_MAX: usize = 16 << 20;
 /// Largest queue limit.
 pub const QUEUE_LIMIT_MAX: u32 = 1_000_000;
-/// Largest share.
+/// Largest share of a workspace.
 pub const SHARE_MAX: u32 = 1000;
 /// Highest priority.
 pub const PRIORITY_MAX: u8 = 9;
-/// Most layers of a model.
+/// Largest number of layers of a model.
 pub const LAYERS_MAX: u32 = 4096;
 
-/// The values above.
+/// Returns the settings with the values above.
 ///
 /// ```
 /// use config::fleet::defaults;
--- a/crates/config/src/fleet/difference.rs
+++ b/crates/config/src/fleet/difference.rs
@@ -1,4 +1,4 @@
-//! What differs between two texts, for operators.
+//! Compares two texts of the fleet settings, for operators.
 
 use serde::Serialize;
 
@@ -7,9 +7,9 @@
 /// One setting that differs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Section.
+    /// Title of the section.
     pub section: String,
-    /// Key; empty when the section itself comes or goes.
+    /// Key; empty when a section without keys is added or removed.
     pub key: String,
     /// Value in the old text.
     pub before: Option<String>,
@@ -17,8 +17,8 @@
     pub after: Option<String>,
 }
 
-/// Settings that differ, in the order of the old text and then of the new one. Texts with
-/// faults are compared as far as they can be read.
+/// Returns the settings that differ, in the order of the old text and then of the new one.
+/// Texts with faults are compared as far as they can be read.
 ///
 /// ```
 /// let found = config::fleet::diff("[defaults]\ndrain = 30s\n", "[defaults]\ndrain = 1m\n");
@@ -26,7 +26,7 @@
 /// assert_eq!(found[0].after.as_deref(), Some("1m"));
 /// ```
 pub fn diff(old_text: &str, new_text: &str) -> Vec<Difference> {
-    let (old, new) = (lines(old_text), lines(new_text));
+    let (old, new) = (entries(old_text), entries(new_text));
     let mut found = vec![];
     for (section, key, before) in &old {
         let after = value(&new, section, key);
@@ -42,14 +42,15 @@
     found
 }
 
-type Line = (String, String, String);
+/// Section, key and value.
+type Entry = (String, String, String);
 
-fn lines(text: &str) -> Vec<Line> {
-    let (_, sections) = Reader::open("", text);
-    sections.into_iter().flat_map(entries).collect()
+fn entries(text: &str) -> Vec<Entry> {
+    let (_, sections) = Reader::parse("", text);
+    sections.into_iter().flat_map(section_entries).collect()
 }
 
-fn entries(section: Section) -> Vec<Line> {
+fn section_entries(section: Section) -> Vec<Entry> {
     let title = section.title;
     match section.pairs.is_empty() {
         true => vec![(title, String::new(), String::new())],
@@ -57,8 +58,8 @@
     }
 }
 
-fn value<'a>(lines: &'a [Line], section: &str, key: &str) -> Option<&'a String> {
-    lines.iter().find(|(s, k, _)| s == section && k == key).map(|(_, _, value)| value)
+fn value<'a>(entries: &'a [Entry], section: &str, key: &str) -> Option<&'a String> {
+    entries.iter().find(|(s, k, _)| s == section && k == key).map(|(_, _, value)| value)
 }
 
 fn difference(
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Settings of a process ([`process`]) and of the fleet ([`fleet`]), and the
-//! order of their changes ([`change`]).
+//! rules for changing the latter ([`change`]).
 //!
-//! Both are INI. All errors of a file are reported at once ([`fault`]).
+//! Both are INI files. All errors of a file are reported at once ([`fault`]).
 //! A semicolon at the start of a line or after white space begins a comment.
 
 pub mod change;
--- a/crates/config/tests/change.rs
+++ b/crates/config/tests/change.rs
@@ -1,4 +1,4 @@
-//! The order of changes: racing operators, expiry, late starters.
+//! Judging of settings changes: racing operators, expired records, late starters.
 
 use config::change::{Change, State, Verdict};
 use proptest::prelude::*;
@@ -35,15 +35,15 @@
     }
 }
 
-// Two operators send a change at the same time. Both were made from version 1; were both
-// taken, the second would silently undo the first, and nobody would have decided so.
+// Two operators publish changes made from version 1 at the same time. If both were accepted,
+// the second would silently undo the first.
 #[test]
-fn of_two_racing_changes_the_first_wins_and_the_second_is_told() {
+fn of_two_racing_changes_the_first_wins_and_the_second_is_refused() {
     let mut state = State::new();
     assert_eq!(state.judge(0, &json(&change(0, &text(1)))), Verdict::Accepted(1));
     assert_eq!(state.judge(1, &json(&change(1, &text(2)))), Verdict::Accepted(2));
-    let told = reason(state.judge(2, &json(&change(1, &text(3)))));
-    assert_eq!(told, "based on version 1, but 2 is in force");
+    let refusal = reason(state.judge(2, &json(&change(1, &text(3)))));
+    assert_eq!(refusal, "based on version 1, but 2 is in force");
     assert_eq!(state.fleet.defaults.queue_limit, 3);
 }
 
@@ -59,31 +59,31 @@
 fn a_wrong_record_is_refused_and_changes_nothing(#[case] data: &str, #[case] why: &str) {
     let mut state = State::new();
     state.judge(0, &json(&change(0, &text(1))));
-    let told = reason(state.judge(1, data));
-    assert!(told.contains(why), "{told}");
+    let refusal = reason(state.judge(1, data));
+    assert!(refusal.contains(why), "{refusal}");
     assert_eq!((state.version, state.next), (1, 2));
     assert_eq!(reason(state.judge(1, data)), "already read");
 }
 
-// A daemon starts when the first records have expired. A change whose base it can't verify
-// may be the loser of a race; were it taken, this VM alone would run other settings.
+// A daemon starts after the first records have expired. A change whose base it can't verify
+// may have lost a race; if it were accepted, this VM alone would run other settings.
 #[test]
 fn a_late_starter_waits_for_a_carried_record_and_then_agrees() {
     let mut late = State::starting_at(5);
     assert_eq!(late.judge(5, &json(&change(3, &text(2)))), Verdict::Pending);
     assert_eq!(late.judge(6, &json(&change(4, &text(3)))), Verdict::Pending);
     assert!(!late.knows_base());
-    let settled = late.judge_with_pending(7, &json(&carried(4, 5, &text(1))));
-    assert!(matches!(settled[0], (5, Verdict::Refused(_))));
-    assert_eq!(settled[1], (6, Verdict::Accepted(7)));
-    assert!(matches!(settled[2], (7, Verdict::Refused(_))));
+    let verdicts = late.judge_with_pending(7, &json(&carried(4, 5, &text(1))));
+    assert!(matches!(verdicts[0], (5, Verdict::Refused(_))));
+    assert_eq!(verdicts[1], (6, Verdict::Accepted(7)));
+    assert!(matches!(verdicts[2], (7, Verdict::Refused(_))));
     assert_eq!((late.version, late.text), (7, text(3)));
 }
 
-// A daemon was slow to append its carried record: what it had judged has expired meanwhile,
-// and a change that nobody can read any more may have come after it.
+// A daemon appends its carried record late: the records that it had judged have expired
+// meanwhile, and an expired change after them may have been accepted.
 #[test]
-fn a_carried_record_from_before_the_gap_tells_nothing() {
+fn a_carried_record_from_before_the_gap_is_not_used() {
     let mut late = State::starting_at(5);
     assert_eq!(late.judge(5, &json(&carried(2, 4, &text(1)))), Verdict::Pending);
     assert_eq!(late.judge(6, &json(&change(2, &text(2)))), Verdict::Pending);
@@ -91,20 +91,20 @@
     assert!(late.carried_record("id", "a").is_none());
 }
 
-// A VM is paused for longer than the log keeps its records.
+// A VM is paused for longer than the log keeps records.
 #[test]
-fn a_gap_takes_the_base_away_but_not_the_settings() {
+fn after_a_gap_the_base_is_unknown_and_the_settings_stay() {
     let mut state = State::new();
     state.judge(0, &json(&change(0, &text(1))));
     assert_eq!(state.judge(4, &json(&change(1, &text(2)))), Verdict::Pending);
     assert_eq!((state.version, state.knows_base()), (1, false));
 }
 
-// The whole fleet was gone for longer than the log keeps records, so that nobody knows a
-// base. An operator starts anew, and another one at the same time: the first counts for all,
-// also for a process that had seen that nothing was in force.
+// The whole fleet was down for longer than the log keeps records, so no process knows the
+// base. Two operators restart the stream at the same time: the first restart is in force for
+// all processes, including one that read the whole stream while nothing was in force.
 #[test]
-fn of_two_fresh_starts_the_first_counts_for_all() {
+fn of_two_restarts_the_first_is_in_force_for_all() {
     let empty = State::starting_at(5);
     let [first, second] = [1, 2].map(|n| json(&empty.restart_record("id", "a", "r", &text(n))));
     let mut witness = State::new();
@@ -121,36 +121,36 @@
     assert_eq!((late.version, late.knows_base()), (0, false));
 }
 
-// A carried record that contradicts itself, appended by a faulty daemon. A late starter that
-// believed it would hold a version that never was.
+// A faulty daemon appends a carried record that contradicts itself. A late starter that
+// accepted it would have a version in force that never existed.
 #[rstest]
 #[case::newer_than_judged(carried(6, 4, &text(1)))]
 #[case::far_newer(carried(9, 5, &text(1)))]
 #[case::judged_what_was_to_come(carried(3, 9, &text(1)))]
 #[case::faulty(carried(3, 5, "[what]\n"))]
-fn a_carried_record_that_can_not_be_true_is_refused(#[case] record: Change) {
+fn an_impossible_carried_record_is_refused(#[case] record: Change) {
     let mut late = State::starting_at(5);
     assert!(matches!(late.judge(5, &json(&record)), Verdict::Refused(_)));
     assert_eq!((late.version, late.knows_base()), (0, false));
 }
 
-// A VM was paused all that time and still has an old version. The new start has a higher
-// one, so the VM takes it up like all others.
+// A VM was paused while the records expired and still has an old version. The restart has a
+// higher version, so the VM adopts it like all others.
 #[test]
-fn a_fresh_start_is_newer_than_all_before() {
+fn a_restart_is_newer_than_all_versions_before() {
     let mut state = State::new();
     state.judge(0, &json(&change(0, &text(1))));
-    let anew = State::starting_at(1).restart_record("id", "a", "r", &text(2));
+    let restart = State::starting_at(1).restart_record("id", "a", "r", &text(2));
     let mut paused = state.clone();
-    assert!(matches!(state.judge(1, &json(&anew)), Verdict::Refused(_)), "it knew the base");
+    assert!(matches!(state.judge(1, &json(&restart)), Verdict::Refused(_)), "it knew the base");
     paused.skip(3);
-    let anew = State::starting_at(3).restart_record("id", "a", "r", &text(2));
-    assert_eq!(paused.judge(3, &json(&anew)), Verdict::Carried(4));
+    let restart = State::starting_at(3).restart_record("id", "a", "r", &text(2));
+    assert_eq!(paused.judge(3, &json(&restart)), Verdict::Carried(4));
     assert_eq!((paused.version, paused.text), (4, text(2)));
 }
 
-// A peer has read further; its version holds here at once and is never taken back by what
-// is still to be read.
+// A peer has read further. Its version takes effect here at once and is not reverted by
+// older records that are read later.
 #[test]
 fn a_version_from_a_peer_never_reverts() {
     let mut state = State::new();
@@ -165,26 +165,26 @@
     assert_eq!(state.judge(2, &json(&change(1, &text(3)))), Verdict::Accepted(3));
 }
 
-/// What happens in a random run; numbers are taken modulo what exists.
+/// A step of a random run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// An operator appends a change made from the version that a process has in force.
+    /// An operator appends a change made from the version in force at a process.
     Publish(usize),
-    /// An operator appends a change made from any number.
+    /// An operator appends a change made from an arbitrary version.
     Guess(u64),
-    /// Somebody appends what is no change.
+    /// A record that is not a change is appended.
     Garbage,
-    /// A process prepares a carried record; it is appended some steps later.
+    /// A process prepares a carried record, which is appended some steps later.
     Carry(usize),
-    /// The oldest prepared carried record arrives at the log.
+    /// The oldest prepared carried record is appended.
     Arrive,
     /// A process reads some records.
     Read(usize, u64),
     /// The oldest records expire.
     Expire(u64),
-    /// A process starts anew.
+    /// A process restarts.
     Start(usize),
-    /// A process adopts the version of another.
+    /// A process adopts the version of another process.
     Adopt(usize, usize),
 }
 
@@ -205,15 +205,15 @@
 
 const PROCESSES: usize = 4;
 
-/// A log whose oldest records expire, and the processes that read it.
+/// A log with expiring records, and the processes that read it.
 struct World {
     log: Vec<String>,
     first: u64,
     delayed: Vec<String>,
     processes: Vec<State>,
-    /// Reads everything at once and never misses a record.
+    /// Judges each record when it is appended and misses none.
     witness: State,
-    /// Every version that was ever accepted, with its text.
+    /// Versions accepted so far, with their texts.
     accepted: Vec<(u64, String)>,
     count: u32,
 }
@@ -254,16 +254,16 @@
             let before = state.version;
             let verdicts = state.judge_with_pending(offset, data);
             assert!(state.version >= before, "a version reverted");
-            for (at, verdict) in verdicts {
-                let known = self.accepted.iter().any(|(v, _)| *v == at + 1);
+            for (offset, verdict) in verdicts {
+                let accepted = self.accepted.iter().any(|(v, _)| *v == offset + 1);
                 match verdict {
-                    Verdict::Accepted(_) => assert!(known, "accepted what others refused"),
-                    Verdict::Refused(_) => assert!(!known, "refused what others accepted"),
+                    Verdict::Accepted(_) => assert!(accepted, "accepted what others refused"),
+                    Verdict::Refused(_) => assert!(!accepted, "refused what others accepted"),
                     Verdict::Carried(_) | Verdict::Pending => {}
                 }
             }
-            let held = (state.version, state.text.clone());
-            assert!(self.accepted.contains(&held), "holds what was never accepted: {held:?}");
+            let current = (state.version, state.text.clone());
+            assert!(self.accepted.contains(&current), "has what was never accepted: {current:?}");
         }
     }
 
@@ -295,15 +295,15 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    // Operators race, records expire and daemons start at any moment. A user would notice a
-    // disagreement as a limit that holds at one entry VM and not at the next.
+    // Operators race, records expire and daemons start at any moment. If processes disagreed,
+    // a limit would apply at one router and not at another.
     #[test]
-    fn all_that_have_caught_up_agree(steps in prop::collection::vec(step(), 1..80)) {
+    fn all_processes_that_have_caught_up_agree(steps in prop::collection::vec(step(), 1..80)) {
         let mut world = World::new();
         for step in steps {
             world.run(step);
         }
-        // A process that knows everything keeps the version from expiring.
+        // The witness appends a carried record, from which every process learns the base.
         let carry = world.witness.carried_record("c", "d").unwrap();
         world.append(json(&carry));
         for i in 0..PROCESSES {
@@ -317,16 +317,16 @@
         prop_assert!(rising);
     }
 
-    // Of all changes made from one version exactly one is accepted, the first that checks.
+    // Of all changes made from one version exactly one is accepted: the first valid one.
     #[test]
     fn each_base_has_one_winner(bases in prop::collection::vec(0..12u64, 1..40)) {
         let mut state = State::new();
         let mut won = vec![];
         for (offset, base) in bases.iter().enumerate() {
-            let open = state.version == *base;
+            let expected = state.version == *base;
             let verdict = state.judge(offset as u64, &json(&change(*base, &text(offset as u32))));
-            prop_assert_eq!(verdict == Verdict::Accepted(offset as u64 + 1), open);
-            won.extend(open.then_some(*base));
+            prop_assert_eq!(verdict == Verdict::Accepted(offset as u64 + 1), expected);
+            won.extend(expected.then_some(*base));
         }
         let count = won.len();
         won.sort();
@@ -334,7 +334,7 @@
         prop_assert_eq!(won.len(), count);
     }
 
-    // Whatever stands in the stream, reading it does not end the daemon.
+    // No content of the stream may end the daemon that reads it.
     #[test]
     fn no_record_makes_a_reader_panic(data in ".{0,200}", offset in any::<u64>()) {
         let mut state = State::new();
--- a/crates/config/tests/deploy.rs
+++ b/crates/config/tests/deploy.rs
@@ -1,4 +1,4 @@
-//! The example files under `deploy/` are whole and without faults.
+//! The example files under `deploy/` are complete and have no faults.
 
 use std::path::PathBuf;
 
@@ -39,7 +39,7 @@
     workspace: "timket",
     queue_limit: 500,
 })]
-fn fleet_examples_check(#[case] case: Fleet) {
+fn fleet_examples_are_valid(#[case] case: Fleet) {
     let text = std::fs::read_to_string(file(case.file)).unwrap();
     let fleet = fleet::parse(case.file, &text).unwrap_or_else(|faults| panic!("{faults}"));
     assert_eq!(fleet.defaults.objective, case.objective);
@@ -57,7 +57,7 @@
 #[case("router.ini", None)]
 #[case("agent-engine.ini", Some(Kind::Engine))]
 #[case("agent-service.ini", Some(Kind::Service("filing".into())))]
-fn process_examples_check(#[case] name: &str, #[case] kind: Option<Kind>) {
+fn process_examples_are_valid(#[case] name: &str, #[case] kind: Option<Kind>) {
     let process = process::load(&file(name)).unwrap_or_else(|faults| panic!("{faults}"));
     assert_eq!(process.backend.map(|b| b.kind), kind);
     assert_eq!(process.tls.authority, file("ca.pem"));
--- a/crates/config/tests/fleet.rs
+++ b/crates/config/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Fleet settings: what is read, and every way in which a text can be wrong.
+//! Fleet settings: valid texts, and every kind of fault.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 const SHA: &str = "aaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaaa";
 
-const WHOLE: &str = "
+const COMPLETE: &str = "
 [defaults]
 objective = recovery        ; or throughput
 deadline = 20s
@@ -37,18 +37,18 @@
 reason = The head office files for 40 wineries; at the end of a quarter.
 ";
 
-fn whole() -> Fleet {
-    fleet::parse("fleet.ini", WHOLE).unwrap_or_else(|faults| panic!("{faults}"))
+fn complete() -> Fleet {
+    fleet::parse("fleet.ini", COMPLETE).unwrap_or_else(|faults| panic!("{faults}"))
 }
 
 #[test]
-fn a_whole_text_is_read() {
-    let fleet = whole();
+fn a_complete_text_is_read() {
+    let fleet = complete();
     assert_eq!(fleet.defaults.objective, Objective::Recovery);
     assert_eq!(fleet.defaults.body_limit, 65536);
     assert_eq!(fleet.defaults.drain, fleet::defaults::DRAIN);
     assert_eq!(fleet.model("draft").unwrap().ranges, [(0, 3), (4, 7), (8, 11)]);
-    assert_eq!(fleet.fenced, ["gpu-1", "gpu-2"]);
+    assert_eq!(fleet.fencing_vms, ["gpu-1", "gpu-2"]);
     let workspace = &fleet.workspaces[0];
     assert_eq!((workspace.share, workspace.priority, workspace.queue_limit), (4, 7, 800));
     assert_eq!(workspace.deadline, Duration::from_secs(20));
@@ -71,7 +71,7 @@
     assert!(fleet.workspace("k810").is_none());
 }
 
-/// A wrong text, and the section and key that its only fault names.
+/// A text with one fault, and the section and key that the fault names.
 struct Wrong {
     text: String,
     section: &'static str,
@@ -86,7 +86,7 @@
     format!("[workspace a]\nkey-sha256 = {SHA}\n{lines}\n")
 }
 
-fn excepted(lines: &str) -> String {
+fn with_exception(lines: &str) -> String {
     workspace(&format!("[exception e]\n{lines}"))
 }
 
@@ -136,37 +136,37 @@
 #[case::priority(wrong(workspace("priority = 10"), "workspace a", "priority"))]
 #[case::hidden_exception(wrong(workspace("queue-limit = 10"), "workspace a", "queue-limit"))]
 #[case::no_reason(wrong(
-    excepted("target = workspace a\nsetting = share\nvalue = 2"),
+    with_exception("target = workspace a\nsetting = share\nvalue = 2"),
     "exception e",
     "reason"
 ))]
 #[case::empty_reason(wrong(
-    excepted("target = workspace a\nsetting = share\nvalue = 2\nreason ="),
+    with_exception("target = workspace a\nsetting = share\nvalue = 2\nreason ="),
     "exception e",
     "reason"
 ))]
 #[case::unknown_target(wrong(
-    excepted("target = workspace b\nsetting = share\nvalue = 2\nreason = r"),
+    with_exception("target = workspace b\nsetting = share\nvalue = 2\nreason = r"),
     "exception e",
     "target"
 ))]
 #[case::vm_target(wrong(
-    excepted("target = vm gpu-1\nsetting = share\nvalue = 2\nreason = r"),
+    with_exception("target = vm gpu-1\nsetting = share\nvalue = 2\nreason = r"),
     "exception e",
     "target"
 ))]
 #[case::unknown_setting(wrong(
-    excepted("target = workspace a\nsetting = drain\nvalue = 2s\nreason = r"),
+    with_exception("target = workspace a\nsetting = drain\nvalue = 2s\nreason = r"),
     "exception e",
     "setting"
 ))]
 #[case::exception_value(wrong(
-    excepted("target = workspace a\nsetting = deadline\nvalue = 6m\nreason = r"),
+    with_exception("target = workspace a\nsetting = deadline\nvalue = 6m\nreason = r"),
     "exception e",
     "value"
 ))]
 #[case::exception_twice(wrong(
-    excepted(
+    with_exception(
         "target = workspace a\nsetting = share\nvalue = 2\nreason = r\n[exception f]\ntarget = workspace a\nsetting = share\nvalue = 3\nreason = r"
     ),
     "exception f",
@@ -195,7 +195,7 @@
 #[case::route_key(wrong(service("route.x = PUT /x idempotent"), "service s", "route.x"))]
 #[case::fence(wrong("[engines]\ncheck-fence = gpu-1, gpu-1\n", "engines", "check-fence"))]
 #[case::no_fence(wrong("[engines]\ncheck-fence =\n", "engines", "check-fence"))]
-fn each_wrong_text_gives_its_fault(#[case] case: Wrong) {
+fn each_invalid_text_gives_one_fault(#[case] case: Wrong) {
     let faults = fleet::parse("fleet.ini", &case.text).unwrap_err();
     let found: Vec<_> = faults.list.iter().map(|f| (f.section.as_str(), f.key.as_str())).collect();
     assert_eq!(found, [(case.section, case.key)], "{faults}");
@@ -204,23 +204,23 @@
 }
 
 #[test]
-fn all_faults_come_at_once_and_in_order() {
+fn all_faults_are_reported_in_order() {
     let text = "[defaults]\nnew = 1\ndrain = 5\n[model m]\nversion = 0\nlayers = 2\n[what]\n";
     let faults = fleet::parse("fleet.ini", text).unwrap_err();
     let found: Vec<_> = faults.list.iter().map(|f| (f.section.as_str(), f.key.as_str())).collect();
-    let wanted = [
+    let expected = [
         ("defaults", "new"),
         ("defaults", "drain"),
         ("model m", "version"),
         ("model m", "ranges"),
         ("what", ""),
     ];
-    assert_eq!(found, wanted);
+    assert_eq!(found, expected);
 }
 
-// The clerk's application retries a payment on a path that a proxy or a sloppy client has
-// written in another way. Were it matched loosely, it would count as a look-up or as
-// repeatable, be sent again after a timeout, and the winery would pay the fee twice.
+// A client sends a payment with a path that it or a proxy has written in an unusual form. If
+// such a path were matched loosely, the call could count as read-only or idempotent, be
+// retried after a time-out, and the fee be paid twice.
 #[rstest]
 #[case("GET", "/filings/7", Class::ReadOnly)]
 #[case("GET", "/filings/7?x=/../%2f", Class::ReadOnly)]
@@ -248,16 +248,16 @@
 #[case("HEAD", "/notes/7/print", Class::NonIdempotent)]
 #[case("GET", "/notes//7/print", Class::NonIdempotent)]
 #[case("GET", "/notes/7/%70rint", Class::NonIdempotent)]
-fn an_oddly_written_path_is_never_taken_for_harmless(
+fn an_unusual_path_is_never_treated_as_harmless(
     #[case] method: &str,
     #[case] path: &str,
     #[case] class: Class,
 ) {
-    assert_eq!(whole().services[0].class(method, path), class);
+    assert_eq!(complete().services[0].class(method, path), class);
 }
 
 #[test]
-fn an_oddly_written_look_up_is_harmless_where_all_look_ups_are() {
+fn an_unusual_get_is_read_only_where_all_get_routes_are() {
     let text = "[service s]\nprefix = /s\nroute.1 = GET /x/* read-only\n";
     let fleet = fleet::parse("fleet.ini", text).unwrap();
     assert_eq!(fleet.services[0].class("GET", "/x/na%20me"), Class::ReadOnly);
@@ -271,10 +271,10 @@
 #[case("/s", Some(("s", "")))]
 #[case("/sx", None)]
 #[case("/%73/x", None)]
-fn the_longest_prefix_counts(#[case] path: &str, #[case] wanted: Option<(&str, &str)>) {
+fn the_longest_prefix_applies(#[case] path: &str, #[case] expected: Option<(&str, &str)>) {
     let text = "[service s]\nprefix = /s\n[service t]\nprefix = /s/t\n";
     let fleet = fleet::parse("fleet.ini", text).unwrap();
-    assert_eq!(fleet.service(path).map(|(s, rest)| (s.name.as_str(), rest)), wanted);
+    assert_eq!(fleet.service(path).map(|(s, rest)| (s.name.as_str(), rest)), expected);
 }
 
 #[rstest]
@@ -286,12 +286,12 @@
 #[case("s", None)]
 #[case("", None)]
 #[case("999999999999999999h", None)]
-fn durations(#[case] text: &str, #[case] ms: Option<u64>) {
+fn durations_are_parsed(#[case] text: &str, #[case] ms: Option<u64>) {
     assert_eq!(unit::duration(text), ms.map(Duration::from_millis));
 }
 
 #[test]
-fn a_difference_names_what_came_went_and_changed() {
+fn a_difference_names_added_removed_and_changed_settings() {
     let old = "[defaults]\ndrain = 1s\n[engines]\ncheck-fence = a\n";
     let new = "[defaults]\ndrain = 2s\nqueue-limit = 5\n";
     let found = fleet::diff(old, new);
--- a/crates/config/tests/process.rs
+++ b/crates/config/tests/process.rs
@@ -26,7 +26,7 @@
 ";
 
 #[test]
-fn an_agent_is_read() {
+fn agent_settings_are_read() {
     let process = process::parse("agent.ini", AGENT).unwrap();
     assert_eq!(process.log_level, process::LOG_LEVEL);
     assert_eq!(process.tls.key, Path::new("gpu-1.key"));
@@ -48,7 +48,7 @@
 #[case("slots = 32", "slots = 0", "backend", "slots")]
 #[case("slots = 32", "slots = 32\nslots = 33", "backend", "slots")]
 #[case("[backend]", "[back]\nx = 1\n[backend]", "back", "")]
-fn each_wrong_setting_gives_its_fault(
+fn each_invalid_setting_gives_a_fault(
     #[case] old: &str,
     #[case] new: &str,
     #[case] section: &str,
