--- a/crates/ctl/src/cmd/check.rs
+++ b/crates/ctl/src/cmd/check.rs
@@ -12,8 +12,8 @@
 
 /// Check settings files and print every fault.
 ///
-/// Checks texts of the fleet settings, or with --process the settings files of processes.
-/// Run it before a text is handed to a colleague; `publish` checks as well.
+/// Checks files of fleet settings, or with --process settings files of processes.
+/// `publish` makes the same check of the file that it publishes.
 /// Exits with 1 when there is a fault.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Examples:\n  hyssopctl check dala.ini tsehay.ini\n  \
@@ -22,12 +22,12 @@
     /// Files to check.
     #[arg(required = true, value_name = "FILE")]
     files: Vec<PathBuf>,
-    /// They are settings of processes, not of the fleet.
+    /// Check settings of processes instead of the fleet.
     #[arg(long)]
     process: bool,
 }
 
-/// Checks each file.
+/// Checks each file and prints the faults.
 pub fn run(common: &Common, args: Args) -> Result<Report, Error> {
     let check = if args.process { process_faults } else { fleet_faults };
     let faults: Vec<Fault> = args.files.iter().flat_map(|file| check(file)).collect();
@@ -40,7 +40,7 @@
     Ok(Report { text, code })
 }
 
-/// A fault as JSON.
+/// JSON form of a fault.
 #[derive(Debug, Serialize)]
 struct Row<'a> {
     file: &'a str,
--- a/crates/ctl/src/cmd/diff.rs
+++ b/crates/ctl/src/cmd/diff.rs
@@ -11,7 +11,8 @@
 
 /// Show how a file differs from the settings in force.
 ///
-/// Run it before `publish`, and after a race was lost. Comments are not compared.
+/// Run it before `publish`, and after another operator's change was accepted first. Comments
+/// are not compared.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  hyssopctl --log http://127.0.0.1:9000 diff dala.ini")]
 pub struct Args {
@@ -19,7 +20,7 @@
     file: PathBuf,
 }
 
-/// Reads both texts and prints what differs.
+/// Reads both texts and prints the differences.
 pub async fn run(common: &Common, args: Args) -> Result<Report, Error> {
     let new = std::fs::read_to_string(&args.file)
         .map_err(|e| Error::Usage(format!("{}: {e}", args.file.display())))?;
--- a/crates/ctl/src/cmd/explain.rs
+++ b/crates/ctl/src/cmd/explain.rs
@@ -1,4 +1,4 @@
-//! What happened to a request.
+//! Shows what happened to a request.
 
 use cloud::vm::{Entry, Role};
 use serde_json::{Map, Value};
@@ -10,69 +10,70 @@
 use crate::peer::{self, Answer};
 use crate::report::{self, Report};
 
-/// Field of a line that holds its time, in milliseconds since the Unix epoch.
-const TIME: &str = "time_ms";
+/// Field of an event with its time in milliseconds since the Unix epoch.
+const TIME_FIELD: &str = "time_ms";
 
-/// Show what the fleet knows of a request, in the order of time.
+/// Show the events of a request, in the order of time.
 ///
-/// Asks the agent that the id names and all routers. VMs keep nothing, so what a VM that has
-/// gone knew is lost; VMs that don't answer are named. With `--output`, nobody is asked: the lines
-/// that gateways wrote are searched, for the request and for what they believed around it.
+/// Queries all routers and the VM that the id names. VMs keep events in memory only, so the
+/// events of a VM that has ended are lost; VMs that don't answer are named. With `--output`, no
+/// VM is queried: log lines of gateways are searched for the request and for the state of the
+/// gateways around it.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Examples:\n  hyssopctl --vms http://127.0.0.1:9001 --tls certs \
                         --as operator explain gpu-1.42.7f3a\n  \
                         hyssopctl explain 4211edee581f88ff --output entry-1.log --output entry-2.log")]
 pub struct Args {
-    /// Id of the request: VM.INCARNATION.UNIQUE, or the caller's id on the users' platform.
+    /// Id of the request: VM.INCARNATION.UNIQUE, or in the lines of gateways the caller's id.
     #[arg(value_name = "REQUEST-ID")]
     request: String,
-    /// A file that holds the output of gateways, or - for standard input.
+    /// File with log output of gateways, or - for standard input.
     #[arg(long, value_name = "FILE")]
     output: Vec<String>,
 }
 
-/// Asks and sorts the lines by time.
+/// Collects the events and sorts them by time.
 pub async fn run(common: &Common, args: Args) -> Result<Report, Error> {
     if !args.output.is_empty() {
         return lines::explain(&args.output, &args.request);
     }
     let owner = args.request.split('.').next().unwrap_or_default();
-    let asked = |entry: &Entry| entry.vm == owner || entry.role == Role::Router;
-    let entries: Vec<Entry> = peer::list(common).await?.into_iter().filter(asked).collect();
+    let is_queried = |entry: &Entry| entry.vm == owner || entry.role == Role::Router;
+    let entries: Vec<Entry> = peer::list(common).await?.into_iter().filter(is_queried).collect();
     let listed = entries.iter().any(|entry| entry.vm == owner);
-    let answers = peer::ask(common, entries, &Ask::Explain(args.request.clone())).await?;
+    let answers = peer::query_all(common, entries, &Ask::Explain(args.request.clone())).await?;
 
-    let mut silent: Vec<String> = answers.iter().filter_map(trouble).collect();
+    let mut failures: Vec<String> = answers.iter().filter_map(failure).collect();
     if !listed {
-        silent.push(format!("{owner}: not in the VM list, it may have gone"));
+        failures.push(format!("{owner}: not in the VM list, it may no longer exist"));
     }
-    for line in &silent {
+    for line in &failures {
         eprintln!("hyssopctl: {line}");
     }
     let mut events: Vec<Map<String, Value>> = answers.iter().flat_map(events).collect();
-    events.sort_by_key(time);
+    events.sort_by_key(time_ms);
     match events.is_empty() {
         false if common.json => Ok(report::ok(report::json(&events))),
         false => Ok(report::ok(text(&events))),
-        true if silent.is_empty() => {
-            Err(Error::Refused(format!("nothing is known of request {}", args.request)))
+        true if failures.is_empty() => {
+            Err(Error::Refused(format!("no events of request {} at any VM", args.request)))
         }
         true => Err(Error::Unreachable(format!(
-            "nothing is known of request {} where an answer came",
+            "no events of request {} at the VMs that answered",
             args.request
         ))),
     }
 }
 
-fn trouble(answer: &Answer) -> Option<String> {
-    let e = peer::text(&answer.tell).err()?;
+fn failure(answer: &Answer) -> Option<String> {
+    let e = peer::text(&answer.result).err()?;
     Some(format!("{}: {e}", answer.entry.vm))
 }
 
-/// Events of one VM with its name added: a JSON array, or a JSON object a line. What is
-/// neither is kept as it stands.
+/// Returns the events of one VM with its name added. The answer is a JSON array, or one JSON
+/// object on each line; a line that is not JSON is kept as text.
 fn events(answer: &Answer) -> Vec<Map<String, Value>> {
-    let text = peer::text(&answer.tell).unwrap_or_default();
+    let text = peer::text(&answer.result).unwrap_or_default();
     let values = match serde_json::from_str(text) {
         Ok(Value::Array(values)) => values,
         _ => text.lines().filter(|line| !line.trim().is_empty()).map(value).collect(),
@@ -93,17 +94,18 @@
     event
 }
 
-fn time(event: &Map<String, Value>) -> u64 {
-    event.get(TIME).and_then(Value::as_u64).unwrap_or_default()
+fn time_ms(event: &Map<String, Value>) -> u64 {
+    event.get(TIME_FIELD).and_then(Value::as_u64).unwrap_or_default()
 }
 
 fn text(events: &[Map<String, Value>]) -> String {
     let row = |event: &Map<String, Value>| {
-        let at = event.get(TIME).map_or_else(|| "-".to_string(), |_| report::utc(time(event)));
-        let others = event.iter().filter(|(key, _)| *key != TIME && *key != "vm");
-        let words: Vec<String> =
+        let time =
+            event.get(TIME_FIELD).map_or_else(|| "-".to_string(), |_| report::utc(time_ms(event)));
+        let others = event.iter().filter(|(key, _)| *key != TIME_FIELD && *key != "vm");
+        let fields: Vec<String> =
             others.map(|(key, value)| format!("{key}={}", plain(value))).collect();
-        vec![at, plain(&event["vm"]), words.join(" ")]
+        vec![time, plain(&event["vm"]), fields.join(" ")]
     };
     let rows: Vec<Vec<String>> = events.iter().map(row).collect();
     report::table(&["TIME", "VM", "EVENT"], &rows)
--- a/crates/ctl/src/cmd/lines.rs
+++ b/crates/ctl/src/cmd/lines.rs
@@ -1,4 +1,4 @@
-//! What the lines that gateways wrote say of a request.
+//! Searches the log lines of gateways for a request.
 
 use std::fs;
 use std::io::{self, Read};
@@ -10,33 +10,33 @@
 use crate::error::Error;
 use crate::report::{self, Report};
 
-/// How long before a request's first line what the gateways believed may have decided its fate: the longest
-/// pause for which a server is passed over.
-const BEFORE: Duration = Duration::seconds(4);
+/// How long before a request's first line the state of the gateways may have affected it: the longest
+/// pause for which a suspected server is not used.
+const TIME_BEFORE: Duration = Duration::seconds(4);
 
-/// How long after its last line what follows may tell the cause: the list of servers drops a dead one after
-/// three heartbeats.
-const AFTER: Duration = Duration::seconds(4);
+/// How long after a request's last line the cause may still be logged: the list of servers drops a dead
+/// server after three missed heartbeats.
+const TIME_AFTER: Duration = Duration::seconds(4);
 
-/// Fields that name a server.
-const NAMING: [&str; 3] = ["server", "first", "culprit"];
+/// Fields whose value is the name of a server.
+const SERVER_FIELDS: [&str; 3] = ["server", "first", "culprit"];
 
-/// Beginnings of lines that say what a gateway believes of more than one server.
-const BELIEFS: [&str; 6] =
+/// Beginnings of lines about the state of a gateway that concerns more than one server.
+const STATE_PREFIXES: [&str; 6] =
     ["placement ", "order ", "gives_orders=", "store lost", "store regained", "doubted="];
 
-/// One line that a gateway wrote.
+/// A log line of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Line {
     at: OffsetDateTime,
     vm: String,
-    /// What follows the level and the program's name.
+    /// Text after the level and the program's name.
     text: String,
 }
 
 impl Line {
-    /// Takes a line apart; none if it holds no time. What stands before the time, as when the output
-    /// of many VMs is collected in one place, ends with the VM's name.
+    /// Parses a line; returns `None` if it contains no time. If the output of several VMs was collected in
+    /// one file, text precedes the time, and its last word is the VM's name; else `vm` is used.
     fn parse(text: &str, vm: &str) -> Option<Line> {
         let mut before = "";
         for (at, word) in words(text) {
@@ -51,27 +51,28 @@
         None
     }
 
-    /// Value of a field; a name that may be missing is taken out of its wrapping.
+    /// Returns the value of a field; of an optional name without the enclosing `Some("")`.
     fn field(&self, name: &str) -> Option<&str> {
         let found = words(&self.text).find_map(|(_, w)| w.strip_prefix(name)?.strip_prefix('='))?;
         let bare = found.strip_prefix("Some(\"").and_then(|f| f.strip_suffix("\")"));
         Some(bare.unwrap_or(found))
     }
 
-    fn names_any(&self, servers: &[&str]) -> bool {
+    /// Returns whether the line is about one of the servers and not about a request.
+    fn is_about(&self, servers: &[&str]) -> bool {
         self.field("request").is_none()
             && self.field("server").is_some_and(|s| servers.binary_search(&s).is_ok())
     }
 }
 
-/// Words of a line and where they begin.
+/// Returns the words of a line with their byte offsets.
 fn words(text: &str) -> impl Iterator<Item = (usize, &str)> {
     let start = text.as_ptr() as usize;
     text.split_whitespace().map(move |word| (word.as_ptr() as usize - start, word))
 }
 
-/// Shows the lines of a request in the order of time, and around them what the gateways believed of the
-/// servers it met, of the layers that were held and of the store.
+/// Shows the lines of a request in the order of time, and the lines around them about the servers that it
+/// used, the placement of layers and the store.
 pub fn explain(files: &[String], request: &str) -> Result<Report, Error> {
     let mut lines = Vec::new();
     for file in files {
@@ -85,25 +86,25 @@
         let read = lines.len();
         return Err(Error::Refused(format!("none of {read} lines is of request {request}")));
     };
-    let (from, to) = (first.at - BEFORE, last.at + AFTER);
+    let (from, to) = (first.at - TIME_BEFORE, last.at + TIME_AFTER);
     let mut servers: Vec<&str> = lines
         .iter()
         .filter(own)
-        .flat_map(|line| NAMING.iter().filter_map(|name| line.field(name)))
+        .flat_map(|line| SERVER_FIELDS.iter().filter_map(|name| line.field(name)))
         .collect();
     servers.sort_unstable();
-    let believed = |line: &Line| {
-        let general = BELIEFS.iter().any(|start| line.text.starts_with(start));
-        from <= line.at && line.at <= to && (general || line.names_any(&servers))
+    let is_context = |line: &Line| {
+        let is_general = STATE_PREFIXES.iter().any(|prefix| line.text.starts_with(prefix));
+        from <= line.at && line.at <= to && (is_general || line.is_about(&servers))
     };
     let rows = lines.iter().filter_map(|line| {
-        let of = match () {
+        let relation = match () {
             () if own(&line) => "request",
-            () if believed(line) => "around",
+            () if is_context(line) => "around",
             () => return None,
         };
         let at = line.at.format(&Rfc3339).unwrap_or_default();
-        Some(vec![at, line.vm.clone(), of.to_owned(), line.text.clone()])
+        Some(vec![at, line.vm.clone(), relation.to_owned(), line.text.clone()])
     });
     Ok(report::ok(report::table(&["TIME", "VM", "OF", "EVENT"], &rows.collect::<Vec<_>>())))
 }
--- a/crates/ctl/src/cmd/mod.rs
+++ b/crates/ctl/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! One module a command, each with its arguments and a `run` that reads as its steps.
+//! One module for each command, with its arguments and a function `run`.
 
 pub mod audit;
 pub mod certs;
--- a/crates/ctl/src/cmd/publish.rs
+++ b/crates/ctl/src/cmd/publish.rs
@@ -13,44 +13,44 @@
 use crate::option::Common;
 use crate::peer;
 use crate::report::{self, Report};
-use crate::settings::{Line, Stream};
+use crate::settings::{Entry, Stream};
 
-/// One long poll for the own record.
-const POLL: Duration = Duration::from_millis(500);
+/// Time of one long poll for the published record, and pause between retries.
+const POLL_TIME: Duration = Duration::from_millis(500);
 
-/// Publish settings; they are in force on every VM within seconds.
+/// Publish settings, which then take effect on every VM within seconds.
 ///
-/// Checks the file, appends a change to the settings stream and succeeds only after reading
-/// its own record back as accepted. When another change was faster, nothing changes and it
-/// exits with 1. When the outcome is not known (exit 3), the same command with the same
-/// --base is safe to repeat: of all changes made from one version at most one is accepted.
+/// Checks the file, appends a change to the settings stream and succeeds only after it has
+/// read the record back as accepted. If another change was accepted first, nothing changes and
+/// it exits with 1. If the outcome is not known (exit code 3), it is safe to retry with the
+/// same --base: of all changes made from one version at most one is accepted.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  hyssopctl --log http://127.0.0.1:9000 publish dala.ini \
                         --author asel --reason 'Quarter end' --base 3")]
 pub struct Args {
-    /// The whole new text.
+    /// File with the complete new text.
     file: PathBuf,
-    /// Who makes the change.
+    /// Author of the change.
     #[arg(long)]
     author: String,
-    /// Why.
+    /// Reason for the change.
     #[arg(long)]
     reason: String,
-    /// Version the text was made from; the one in force when left out.
+    /// Version that the text was made from; the one in force if left out.
     #[arg(long, value_name = "V")]
     base: Option<u64>,
-    /// Start anew after the whole fleet was gone for longer than the log keeps records, so
-    /// that nobody knows the version in force any more. Refused while a VM knows it.
+    /// Restart the stream after the whole fleet was down for longer than the log keeps records,
+    /// so that no VM knows the version in force any more. Refused if a VM knows it.
     #[arg(long, conflicts_with = "base")]
     restart: bool,
-    /// Seconds to look for the own record.
+    /// Seconds to wait for the record to be read back.
     #[arg(long, default_value_t = 10, value_name = "SECONDS")]
     wait: u64,
 }
 
-/// Checks, appends, and reads back.
+/// Checks the file, appends the change and reads its record back.
 pub async fn run(common: &Common, args: Args) -> Result<Report, Error> {
-    let text = checked(&args.file)?;
+    let text = read_checked(&args.file)?;
     if args.author.trim().is_empty() || args.reason.trim().is_empty() {
         return Err(Error::Usage("--author and --reason may not be empty".into()));
     }
@@ -60,31 +60,35 @@
     let mut stream = Stream::with_peers(common).await?;
     let base = args.base.unwrap_or(stream.state.version);
     if stream.state.version > 0 && stream.state.text == text {
-        return Ok(done(common, stream.state.version, "is in force already, with the same text"));
+        return Ok(published(
+            common,
+            stream.state.version,
+            "is in force already, with the same text",
+        ));
     }
     if base != stream.state.version {
-        return Err(lost(&stream, base));
+        return Err(conflict(&stream, base));
     }
     let change = change(&args, base, text);
-    let until = Instant::now() + Duration::from_secs(args.wait);
+    let deadline = Instant::now() + Duration::from_secs(args.wait);
     append(&stream, &change).await?;
-    let own = read_back(&mut stream, &change, until).await?;
+    let own = read_back(&mut stream, &change, deadline).await?;
     match own.verdict {
-        Verdict::Accepted(version) => Ok(done(common, version, "is in force")),
-        Verdict::Pending => confirm(common, &own, &change, until).await,
-        Verdict::Refused(_) if base != stream.state.version => Err(lost(&stream, base)),
+        Verdict::Accepted(version) => Ok(published(common, version, "is in force")),
+        Verdict::Pending => confirm(common, &own, &change, deadline).await,
+        Verdict::Refused(_) if base != stream.state.version => Err(conflict(&stream, base)),
         Verdict::Refused(reason) => Err(Error::Refused(reason)),
-        Verdict::Carried(_) => Err(unknown("the record was taken for a carried one")),
+        Verdict::Carried(_) => Err(unknown_outcome("the record was judged as a carried record")),
     }
 }
 
-/// Appends a record that says what is in force from its place on. Every process that knows
-/// no base takes it up; one that does know refuses it, which is why none may be left.
+/// Appends a record that restarts the stream. Every process that does not know the base accepts
+/// it and every other process refuses it, so no VM may be left that knows the base.
 async fn restart(common: &Common, args: &Args, text: String) -> Result<Report, Error> {
     let mut stream = Stream::read(common).await?;
     let entries = peer::list(common).await?;
-    for answer in peer::ask(common, entries, &Ask::Settings).await? {
-        match answer.tell {
+    for answer in peer::query_all(common, entries, &Ask::Settings).await? {
+        match answer.result {
             Ok(Tell::Settings(settings)) => {
                 stream.state.adopt(settings.version, &settings.text);
             }
@@ -99,11 +103,11 @@
         )));
     }
     let change = stream.state.restart_record(&id(), &args.author, &args.reason, &text);
-    let until = Instant::now() + Duration::from_secs(args.wait);
+    let deadline = Instant::now() + Duration::from_secs(args.wait);
     append(&stream, &change).await?;
-    match read_back(&mut stream, &change, until).await?.verdict {
-        Verdict::Carried(version) => Ok(done(common, version, "is in force")),
-        _ => Err(lost(&stream, 0)),
+    match read_back(&mut stream, &change, deadline).await?.verdict {
+        Verdict::Carried(version) => Ok(published(common, version, "is in force")),
+        _ => Err(conflict(&stream, 0)),
     }
 }
 
@@ -112,10 +116,10 @@
     version: u64,
 }
 
-fn done(common: &Common, version: u64, what: &str) -> Report {
+fn published(common: &Common, version: u64, state: &str) -> Report {
     report::ok(match common.json {
         true => report::json(&Published { version }),
-        false => format!("version {version} {what}\n"),
+        false => format!("version {version} {state}\n"),
     })
 }
 
@@ -123,7 +127,7 @@
     uuid::Uuid::now_v7().to_string()
 }
 
-fn checked(file: &PathBuf) -> Result<String, Error> {
+fn read_checked(file: &PathBuf) -> Result<String, Error> {
     let text = std::fs::read_to_string(file)
         .map_err(|e| Error::Usage(format!("{}: {e}", file.display())))?;
     match fleet::parse(&file.display().to_string(), &text) {
@@ -144,8 +148,8 @@
     }
 }
 
-/// Appends the record. Only a call that certainly had no effect is an error here: after a
-/// lost answer the record may stand in the stream, and reading settles it.
+/// Appends the record. Only a call that certainly had no effect is an error: if the answer is
+/// lost, the record may still be in the stream, which reading it back decides.
 async fn append(stream: &Stream, change: &Change) -> Result<(), Error> {
     match stream.append(change).await {
         Ok(_) => Ok(()),
@@ -156,51 +160,56 @@
     }
 }
 
-/// Reads on until the own record comes by.
-async fn read_back(stream: &mut Stream, change: &Change, until: Instant) -> Result<Line, Error> {
+/// Reads the stream up to the record of the change.
+async fn read_back(
+    stream: &mut Stream,
+    change: &Change,
+    deadline: Instant,
+) -> Result<Entry, Error> {
     let mut seen = 0;
-    let mut trouble = "it is not in the stream yet".to_string();
+    let mut reason = "the record is not in the stream yet".to_string();
     loop {
-        let own = |line: &&Line| line.change.as_ref().is_some_and(|c| c.id == change.id);
-        if let Some(line) = stream.lines[seen..].iter().find(own) {
-            return Ok(line.clone());
+        let own = |entry: &&Entry| entry.change.as_ref().is_some_and(|c| c.id == change.id);
+        if let Some(entry) = stream.entries[seen..].iter().find(own) {
+            return Ok(entry.clone());
         }
-        seen = stream.lines.len();
-        if Instant::now() >= until {
-            return Err(unknown(&trouble));
+        seen = stream.entries.len();
+        if Instant::now() >= deadline {
+            return Err(unknown_outcome(&reason));
         }
-        // The log may fail between the append and this; the outcome is still open then.
-        if let Err(e) = stream.advance(POLL).await {
-            trouble = e.to_string();
-            tokio::time::sleep(POLL).await;
+        // If the log fails after the append, the outcome is still unknown.
+        if let Err(e) = stream.advance(POLL_TIME).await {
+            reason = e.to_string();
+            tokio::time::sleep(POLL_TIME).await;
         }
     }
 }
 
-/// Where this reader can't judge since records have expired, the VMs tell.
+/// Queries the VMs for the version in force if the record can't be judged because records before
+/// it have expired.
 async fn confirm(
     common: &Common,
-    own: &Line,
+    own: &Entry,
     change: &Change,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Report, Error> {
     let version = own.offset + 1;
-    while common.has_peers() && Instant::now() < until {
-        let told = peer::settings(common).await.unwrap_or_default();
-        match told.iter().max_by_key(|settings| settings.version) {
-            Some(top) if top.version == version && top.text == change.text => {
-                return Ok(done(common, version, "is in force"));
+    while common.has_peers() && Instant::now() < deadline {
+        let settings = peer::settings(common).await.unwrap_or_default();
+        match settings.iter().max_by_key(|settings| settings.version) {
+            Some(newest) if newest.version == version && newest.text == change.text => {
+                return Ok(published(common, version, "is in force"));
             }
-            Some(top) if top.version > version => break,
-            _ => tokio::time::sleep(POLL).await,
+            Some(newest) if newest.version > version => break,
+            _ => tokio::time::sleep(POLL_TIME).await,
         }
     }
-    Err(unknown("records before it have expired, and no VM has confirmed it"))
+    Err(unknown_outcome("records before it have expired, and no VM has confirmed it"))
 }
 
-fn lost(stream: &Stream, base: u64) -> Error {
+fn conflict(stream: &Stream, base: u64) -> Error {
     let version = stream.state.version;
-    let change = stream.version(version).and_then(|line| line.change.as_ref());
+    let change = stream.version(version).and_then(|entry| entry.change.as_ref());
     let by = match change {
         Some(c) if c.carried.is_none() => {
             format!(" by {} is in force, made from {}", c.author, c.base)
@@ -208,13 +217,13 @@
         _ => " is in force".to_string(),
     };
     Error::Refused(format!(
-        "version {version}{by}; yours was made from {base}: look at `hyssopctl diff`"
+        "version {version}{by}; yours was made from {base}: see `hyssopctl diff`"
     ))
 }
 
-fn unknown(why: &str) -> Error {
+fn unknown_outcome(why: &str) -> Error {
     Error::Unreachable(format!(
-        "the outcome is not known: {why}. Look at `hyssopctl audit`; publishing again with the \
-         same --base is safe, at most one of the two is accepted"
+        "the outcome is not known: {why}. See `hyssopctl audit`; publishing again with the \
+         same --base is safe, because at most one of the two is accepted"
     ))
 }
--- a/crates/ctl/src/cmd/quarantine.rs
+++ b/crates/ctl/src/cmd/quarantine.rs
@@ -1,9 +1,9 @@
-//! Requests that crash engines: those refused everywhere, and letting one run again.
+//! Shows requests that crashed engines, and lifts their quarantine.
 
 use std::time::Duration;
 
 use clap::Subcommand;
-use cloud::log::{Client, Record as Raw};
+use cloud::log::{Client, Record as LogRecord};
 use serde::Serialize;
 use wire::quarantine::{self, LATE, Record, Running, STREAM};
 
@@ -11,10 +11,10 @@
 use crate::option::Common;
 use crate::report::{self, Report};
 
-/// How long a lifted record is looked for after a lost answer of its append.
-const SETTLE: Duration = Duration::from_secs(2);
+/// How long the appended record is looked for if the answer to the append was lost.
+const READ_BACK_TIME: Duration = Duration::from_secs(2);
 
-/// Show the requests that crashed engines, or let one run again.
+/// Show requests that crashed engines, or allow one to run again.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  \
     hyssopctl --log http://127.0.0.1:9000 quarantine lift 00f3a1b2c4d5e6f7 --author asel \
@@ -26,17 +26,18 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Show suspects, which run only alone, and requests that are refused everywhere. Those
-    /// whose time (`quarantine` in the settings) has passed are shown until their records expire.
+    /// Show suspects, which run alone only, and requests that all VMs refuse. Requests whose
+    /// quarantine time (`quarantine` in the settings) has passed are shown until their records
+    /// expire.
     List,
-    /// Let a request run again on all VMs.
+    /// Allow a request to run again on all VMs.
     Lift {
-        /// Its fingerprint, as `list` shows it.
+        /// Fingerprint of the request, as shown by `list`.
         fingerprint: String,
-        /// Who decides.
+        /// Author of the decision.
         #[arg(long)]
         author: String,
-        /// Why.
+        /// Reason for the decision.
         #[arg(long)]
         reason: String,
     },
@@ -52,14 +53,16 @@
     tag: String,
 }
 
-/// Reads the stream, or appends to it.
+/// Reads the stream, or appends a record that lifts the quarantine of a request.
 pub async fn run(common: &Common, args: Args) -> Result<Report, Error> {
     let log = common.log()?;
     match args.command {
         Command::List => list(common, &log).await,
         Command::Lift { fingerprint, author, reason } => {
             if quarantine::read(&fingerprint).is_none() {
-                let why = format!("'{fingerprint}' is no fingerprint: 16 hexadecimal digits");
+                let why = format!(
+                    "'{fingerprint}' is not a fingerprint, which has 16 hexadecimal digits"
+                );
                 return Err(Error::Usage(why));
             }
             let rows = rows(&records(&log).await?);
@@ -87,10 +90,10 @@
 
 async fn lift(log: &Client, record: Record) -> Result<Report, Error> {
     let data = serde_json::to_string(&record).unwrap_or_default();
-    let before = records(log).await?.last().map_or(0, |r| r.offset + 1);
+    let next = records(log).await?.last().map_or(0, |r| r.offset + 1);
     if let Err(e) = log.append(STREAM, &data).await {
-        // The answer may be lost and the record stand all the same.
-        let page = log.read(STREAM, before, SETTLE).await?;
+        // The answer may be lost although the record was appended.
+        let page = log.read(STREAM, next, READ_BACK_TIME).await?;
         if !page.records.iter().any(|r| r.data == data) {
             return Err(Error::Unreachable(format!("not lifted: {e}")));
         }
@@ -98,44 +101,48 @@
     Ok(report::ok("lifted\n".to_string()))
 }
 
-async fn records(log: &Client) -> Result<Vec<Raw>, Error> {
-    super::audit::raw(log, STREAM).await
+async fn records(log: &Client) -> Result<Vec<LogRecord>, Error> {
+    super::audit::read_all(log, STREAM).await
 }
 
-/// What the records come to, in order of fingerprint.
-fn rows(records: &[Raw]) -> Vec<Row> {
+/// Returns the requests in quarantine by the records, sorted by fingerprint.
+fn rows(records: &[LogRecord]) -> Vec<Row> {
     let mut rows: Vec<Row> = Vec::new();
     let mut cleared: Vec<(String, u64)> = Vec::new();
-    for raw in records {
-        match serde_json::from_str(&raw.data) {
+    for record in records {
+        match serde_json::from_str(&record.data) {
             Ok(Record::Crashed { vm, suspects, refused, .. }) => {
                 let row = |state, r: &Running| Row {
                     fingerprint: r.fingerprint.clone(),
                     state,
-                    since: report::utc(raw.time_ms),
+                    since: report::utc(record.time_ms),
                     vm: vm.clone(),
                     request: r.request.clone(),
                     tag: r.tag.clone(),
                 };
-                let late = LATE.as_millis() as u64;
-                cleared.retain(|(_, at)| at + late > raw.time_ms);
-                let known = |r: &&Running| !cleared.iter().any(|(f, _)| *f == r.fingerprint);
-                suspects.iter().filter(known).for_each(|r| put(&mut rows, row("suspect", r)));
-                refused.iter().for_each(|r| put(&mut rows, row("refused", r)));
+                let late_ms = LATE.as_millis() as u64;
+                cleared.retain(|(_, at)| at + late_ms > record.time_ms);
+                let not_cleared = |r: &&Running| !cleared.iter().any(|(f, _)| *f == r.fingerprint);
+                suspects
+                    .iter()
+                    .filter(not_cleared)
+                    .for_each(|r| upsert(&mut rows, row("suspect", r)));
+                refused.iter().for_each(|r| upsert(&mut rows, row("refused", r)));
             }
             Ok(Record::Cleared { fingerprints, .. }) => {
-                cleared.extend(fingerprints.iter().map(|f| (f.clone(), raw.time_ms)));
+                cleared.extend(fingerprints.iter().map(|f| (f.clone(), record.time_ms)));
                 rows.retain(|r| r.state == "refused" || !fingerprints.contains(&r.fingerprint));
             }
             Ok(Record::Lifted { fingerprint, .. }) => rows.retain(|r| r.fingerprint != fingerprint),
-            // The audit trail shows it as it stands.
+            // `audit` shows records that do not decode.
             Err(_) => {}
         }
     }
     rows
 }
 
-fn put(rows: &mut Vec<Row>, row: Row) {
+/// Inserts a row or replaces the one of the same fingerprint; a suspect does not replace a refused request.
+fn upsert(rows: &mut Vec<Row>, row: Row) {
     match rows.binary_search_by(|r| r.fingerprint.cmp(&row.fingerprint)) {
         Ok(i) if rows[i].state == "refused" && row.state == "suspect" => {}
         Ok(i) => rows[i] = row,
--- a/crates/ctl/src/cmd/show.rs
+++ b/crates/ctl/src/cmd/show.rs
@@ -1,4 +1,4 @@
-//! Shows settings.
+//! Shows the settings of a version.
 
 use serde::Serialize;
 
@@ -14,7 +14,7 @@
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  hyssopctl --log http://127.0.0.1:9000 show > dala.ini")]
 pub struct Args {
-    /// Another version than the one in force.
+    /// Version to show; the one in force if left out.
     #[arg(long, value_name = "V")]
     version: Option<u64>,
 }
@@ -25,14 +25,14 @@
     text: String,
 }
 
-/// Reads the stream and picks the version.
+/// Reads the stream and prints the text of the version.
 pub async fn run(common: &Common, args: Args) -> Result<Report, Error> {
     let stream = match args.version {
         Some(_) => Stream::read(common).await?,
         None => Stream::with_peers(common).await?,
     };
     let version = args.version.unwrap_or(stream.state.version);
-    let text = match stream.version(version).and_then(|line| line.change.as_ref()) {
+    let text = match stream.version(version).and_then(|entry| entry.change.as_ref()) {
         Some(change) => change.text.clone(),
         None if version == 0 => {
             return Err(Error::Refused("no settings have been published yet".into()));
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -1,4 +1,4 @@
-//! The state of every VM.
+//! Shows the state of every VM.
 
 use cloud::vm;
 use serde::{Deserialize, Serialize};
@@ -9,17 +9,17 @@
 use crate::peer::{self, Answer};
 use crate::report::{self, Report};
 
-/// Show the state of every VM of the platform's list.
+/// Show the state of every VM in the platform's list.
 ///
-/// Asks all VMs at the same time. Exits with 3 when a VM that is listed as live does not
-/// answer; the list lags, so it may only just have gone.
+/// Queries all VMs concurrently. Exits with 3 when a VM that is listed as live does not
+/// answer; the list lags behind, so the VM may have gone a moment ago.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  hyssopctl --vms http://127.0.0.1:9001 --tls certs \
                         --as operator status")]
 pub struct Args {}
 
-/// What a daemon says of itself. Fields may be missing: a daemon of another release is shown
-/// as far as it can be understood.
+/// Status that a daemon reports. All fields are optional, so that a daemon of another release
+/// is shown as far as its fields are known.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 struct Status {
@@ -47,19 +47,19 @@
     error: Option<String>,
 }
 
-/// Asks every VM and prints a row for each.
+/// Queries every VM and prints a row for each.
 pub async fn run(common: &Common, _args: Args) -> Result<Report, Error> {
     let entries = peer::list(common).await?;
-    let answers = peer::ask(common, entries, &Ask::Status).await?;
+    let answers = peer::query_all(common, entries, &Ask::Status).await?;
     let rows: Vec<Row> = answers.into_iter().map(row).collect();
-    let silent = rows.iter().any(|row| row.error.is_some() && row.listed == vm::State::Live);
-    let code = if silent { error::UNREACHABLE } else { error::OK };
+    let unanswered = rows.iter().any(|row| row.error.is_some() && row.listed == vm::State::Live);
+    let code = if unanswered { error::UNREACHABLE } else { error::OK };
     let text = if common.json { report::json(&rows) } else { text(&rows) };
     Ok(Report { text, code })
 }
 
 fn row(answer: Answer) -> Row {
-    let decoded = peer::text(&answer.tell)
+    let decoded = peer::text(&answer.result)
         .and_then(|text| serde_json::from_str::<Status>(text).map_err(|e| e.to_string()));
     let (status, error) = match decoded {
         Ok(status) => (status, None),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,32 +1,32 @@
-//! Why a command could not do its work, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use derive_more::{Display, Error};
 
-/// Exit code when all is well.
+/// Exit code on success.
 pub const OK: u8 = 0;
-/// Exit code when faults were found, or the fleet refused.
+/// Exit code when faults were found, or the operation was refused.
 pub const REFUSED: u8 = 1;
-/// Exit code of wrong usage; the argument parser uses it too.
+/// Exit code of wrong usage; the argument parser uses the same.
 pub const USAGE: u8 = 2;
-/// Exit code when something could not be reached, or the outcome is not known.
+/// Exit code when a service or VM could not be reached, or the outcome is not known.
 pub const UNREACHABLE: u8 = 3;
 
-/// Why a command failed; the peers' own errors name the step and the peer.
+/// Failure of a command; the message names the step and the peer where there is one.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// Faults were found, or the fleet refused.
+    /// Faults were found, or the operation was refused.
     #[display("{_0}")]
     Refused(#[error(not(source))] String),
-    /// An argument or a file of the operator is wrong.
+    /// An argument or an input file is invalid.
     #[display("{_0}")]
     Usage(#[error(not(source))] String),
-    /// Something could not be reached, or the outcome is not known.
+    /// A service or VM could not be reached, or the outcome is not known.
     #[display("{_0}")]
     Unreachable(#[error(not(source))] String),
 }
 
 impl Error {
-    /// The exit code.
+    /// Returns the exit code.
     pub fn code(&self) -> u8 {
         match self {
             Error::Refused(_) => REFUSED,
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line: checks and publishes settings, and shows what the fleet does.
+//! The operators' command line: checks and publishes settings, and shows the state of the fleet.
 
 use std::io::Write;
 use std::process::ExitCode;
@@ -12,9 +12,9 @@
 mod report;
 mod settings;
 
-/// Check and publish settings, and see what the fleet does.
+/// Check and publish settings, and show the state of the fleet.
 ///
-/// Exit codes: 0 ok; 1 faults found, or refused; 2 wrong usage; 3 something could not be
+/// Exit codes: 0 ok; 1 faults found, or refused; 2 wrong usage; 3 a service or VM could not be
 /// reached, or the outcome is not known.
 #[derive(Debug, Parser)]
 #[command(name = "hyssopctl", version, after_help = EXAMPLES)]
@@ -48,7 +48,7 @@
 #[tokio::main]
 async fn main() -> ExitCode {
     let Args { common, command } = Args::parse();
-    let done = match command {
+    let result = match command {
         Command::Check(args) => cmd::check::run(&common, args),
         Command::Certs(args) => cmd::certs::run(&common, args),
         Command::Publish(args) => cmd::publish::run(&common, args).await,
@@ -59,9 +59,9 @@
         Command::Status(args) => cmd::status::run(&common, args).await,
         Command::Explain(args) => cmd::explain::run(&common, args).await,
     };
-    match done {
+    match result {
         Ok(report) => {
-            // A reader such as `head` may have gone; that is no failure of the command.
+            // The reader of a pipe, such as `head`, may have exited; that does not make the command fail.
             let _ = std::io::stdout().write_all(report.text.as_bytes());
             ExitCode::from(report.code)
         }
--- a/crates/ctl/src/peer.rs
+++ b/crates/ctl/src/peer.rs
@@ -1,4 +1,4 @@
-//! Asks the fleet's VMs.
+//! Queries the VMs of the fleet.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -11,67 +11,75 @@
 use crate::error::Error;
 use crate::option::Common;
 
-/// How long one VM may take to answer. Longer than a connection may take, so that a short
-/// freeze of a VM is not reported as its loss.
-const ANSWER: Duration = Duration::from_secs(3);
+/// Time limit of the query of one VM. Longer than the time limit of a connection, so that a
+/// short freeze of a VM is not reported as its loss.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the connections may take to close.
-const CLOSE: Duration = Duration::from_millis(500);
+/// Time limit of closing the connections.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// One VM and what it said, or why it did not.
+/// A VM and the result of its query.
 #[derive(Debug)]
 pub struct Answer {
-    /// The VM as it is listed.
+    /// Entry of the VM list.
     pub entry: Entry,
-    /// Its answer.
-    pub tell: Result<Tell, String>,
+    /// The VM's answer, or the error message.
+    pub result: Result<Tell, String>,
 }
 
-/// VMs of the platform's list.
+/// Returns the platform's VM list.
 pub async fn list(common: &Common) -> Result<Vec<Entry>, Error> {
     Ok(common.vms()?.list().await?)
 }
 
-/// Asks all of them at the same time. The answers come in the order of the VMs' names.
-pub async fn ask(common: &Common, entries: Vec<Entry>, ask: &Ask) -> Result<Vec<Answer>, Error> {
+/// Queries all listed VMs concurrently. The answers are sorted by the VMs' names.
+pub async fn query_all(
+    common: &Common,
+    entries: Vec<Entry>,
+    request: &Ask,
+) -> Result<Vec<Answer>, Error> {
     let any = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     let endpoint = link::client(any, &common.tls()?)?;
     let mut tasks = JoinSet::new();
     for entry in entries {
-        let (endpoint, ask) = (endpoint.clone(), ask.clone());
+        let (endpoint, request) = (endpoint.clone(), request.clone());
         tasks.spawn(async move {
-            let tell = match tokio::time::timeout(ANSWER, exchange(&endpoint, &entry, &ask)).await {
-                Ok(done) => done.map_err(|e| e.to_string()),
-                Err(_) => Err(format!("no answer from {} in {ANSWER:?}", entry.vm)),
-            };
-            Answer { entry, tell }
+            let result =
+                match tokio::time::timeout(QUERY_TIMEOUT, exchange(&endpoint, &entry, &request))
+                    .await
+                {
+                    Ok(answer) => answer.map_err(|e| e.to_string()),
+                    Err(_) => Err(format!("no answer from {} in {QUERY_TIMEOUT:?}", entry.vm)),
+                };
+            Answer { entry, result }
         });
     }
     let mut answers = tasks.join_all().await;
-    // A process that ends at once takes the closing packets with it, and each VM then keeps
-    // a dead connection until its idle timeout. A VM that is gone never confirms, hence the limit.
-    let _ = tokio::time::timeout(CLOSE, endpoint.wait_idle()).await;
+    // If the process exited at once, the closing packets would not be sent, and each VM would
+    // keep a dead connection until its idle time-out. A VM that is gone never confirms, hence
+    // the time limit.
+    let _ = tokio::time::timeout(CLOSE_TIMEOUT, endpoint.wait_idle()).await;
     answers.sort_by(|a, b| a.entry.vm.cmp(&b.entry.vm));
     Ok(answers)
 }
 
-/// Settings in force at each VM that answers.
+/// Returns the settings in force at each VM that answers.
 pub async fn settings(common: &Common) -> Result<Vec<Settings>, Error> {
     let entries = list(common).await?;
-    let answers = ask(common, entries, &Ask::Settings).await?;
-    let told = answers.into_iter().filter_map(|answer| match answer.tell {
+    let answers = query_all(common, entries, &Ask::Settings).await?;
+    let settings = answers.into_iter().filter_map(|answer| match answer.result {
         Ok(Tell::Settings(settings)) => Some(settings),
         _ => None,
     });
-    Ok(told.collect())
+    Ok(settings.collect())
 }
 
-/// The text of an answer.
-pub fn text(tell: &Result<Tell, String>) -> Result<&str, String> {
-    match tell {
+/// Returns the text of an answer, or the error or refusal as a message.
+pub fn text(result: &Result<Tell, String>) -> Result<&str, String> {
+    match result {
         Ok(Tell::Text(text)) => Ok(text),
         Ok(Tell::Refused(refusal)) => Err(refusal.to_string()),
-        Ok(_) => Err("an answer of another kind".to_string()),
+        Ok(_) => Err("unexpected kind of answer".to_string()),
         Err(e) => Err(e.clone()),
     }
 }
@@ -79,12 +87,12 @@
 async fn exchange(
     endpoint: &quinn::Endpoint,
     entry: &Entry,
-    ask: &Ask,
+    request: &Ask,
 ) -> Result<Tell, link::Error> {
     let connection = link::connect(endpoint, &entry.vm, &entry.address).await?;
-    let mut stream = link::open(&connection, &entry.vm, ask).await?;
+    let mut stream = link::open(&connection, &entry.vm, request).await?;
     stream.finish();
-    let tell = stream.expect().await;
+    let answer = stream.expect().await;
     connection.close(0u32.into(), b"done");
-    tell
+    answer
 }
--- a/crates/ctl/src/report.rs
+++ b/crates/ctl/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command prints: aligned tables for people, JSON for programs.
+//! Output of commands: aligned tables for people, JSON for programs.
 
 use serde::Serialize;
 
@@ -7,25 +7,25 @@
 /// Output of a command and its exit code.
 #[derive(Debug)]
 pub struct Report {
-    /// What goes to standard output.
+    /// Text for standard output.
     pub text: String,
     /// Exit code.
     pub code: u8,
 }
 
-/// A report of a command that did its work.
+/// Returns the report of a successful command.
 pub fn ok(text: String) -> Report {
     Report { text, code: error::OK }
 }
 
-/// Pretty JSON with a line end.
+/// Formats a value as pretty-printed JSON with a final newline.
 pub fn json<T: Serialize>(value: &T) -> String {
-    // Only maps with odd keys fail, and there are none.
+    // Encoding fails only for maps with keys that are not strings, and there are none.
     let text = serde_json::to_string_pretty(value).unwrap_or_default();
     format!("{text}\n")
 }
 
-/// Rows under a head, each column as wide as its widest cell.
+/// Formats a table with column heads, each column as wide as its widest cell.
 pub fn table(head: &[&str], rows: &[Vec<String>]) -> String {
     let head: Vec<String> = head.iter().map(|cell| cell.to_string()).collect();
     let mut widths = vec![0; head.len()];
@@ -37,7 +37,7 @@
     std::iter::once(&head).chain(rows).map(|row| line(row, &widths)).collect()
 }
 
-/// Milliseconds since the Unix epoch as UTC, such as `2026-03-01T12:00:00.250Z`.
+/// Formats milliseconds since the Unix epoch as a UTC time such as `2026-03-01T12:00:00.250Z`.
 pub fn utc(ms: u64) -> String {
     let (days, rest) = (ms / 86_400_000, ms % 86_400_000);
     let (year, month, day) = date(days);
@@ -52,23 +52,23 @@
     format!("{}\n", cells.join("  ").trim_end())
 }
 
-/// Gregorian date of a day counted from 1970-01-01.
+/// Returns the Gregorian year, month and day of a number of days since 1970-01-01.
 fn date(days: u64) -> (u64, u64, u64) {
-    let (mut year, mut left) = (1970, days);
-    while left >= year_length(year) {
-        left -= year_length(year);
+    let (mut year, mut rest) = (1970, days);
+    while rest >= year_length(year) {
+        rest -= year_length(year);
         year += 1;
     }
     let february = year_length(year) - 337;
     let mut month = 1;
     for length in [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30] {
-        if left < length {
+        if rest < length {
             break;
         }
-        left -= length;
+        rest -= length;
         month += 1;
     }
-    (year, month, left + 1)
+    (year, month, rest + 1)
 }
 
 fn year_length(year: u64) -> u64 {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -1,4 +1,4 @@
-//! The stream of changes as this operator reads it.
+//! Reads the stream of settings changes.
 
 use std::time::Duration;
 
@@ -9,24 +9,25 @@
 use crate::option::Common;
 use crate::peer;
 
-const EXPIRED: &str = "records of the settings stream have expired, so the version in force \
-                       can't be told from the log alone: give --vms, --tls and --as to ask the VMs";
+const BASE_EXPIRED: &str = "records of the settings stream have expired, so the log alone does \
+                            not give the version in force: pass --vms, --tls and --as to query \
+                            the VMs";
 
-/// One record of the stream and what became of it.
+/// A record of the stream and its verdict.
 #[derive(Debug, Clone)]
-pub struct Line {
-    /// Its place.
+pub struct Entry {
+    /// Offset in the stream.
     pub offset: u64,
-    /// When the log took it, in milliseconds since the Unix epoch.
+    /// Time of the append, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What it says; `None` when it does not decode.
+    /// Decoded record; `None` if it does not decode.
     pub change: Option<Change>,
-    /// What became of it.
+    /// Verdict.
     pub verdict: Verdict,
 }
 
-impl Line {
-    /// The version that it brought or kept in force.
+impl Entry {
+    /// Returns the version that the record brought or kept in force.
     pub fn version(&self) -> Option<u64> {
         match self.verdict {
             Verdict::Accepted(version) | Verdict::Carried(version) => Some(version),
@@ -35,47 +36,48 @@
     }
 }
 
-/// All records that are kept, judged as every daemon judges them.
+/// All records that the log still keeps, judged by the rules of the daemons.
 #[derive(Debug)]
 pub struct Stream {
-    /// What is in force.
+    /// Settings in force and position in the stream.
     pub state: State,
-    /// The records in order.
-    pub lines: Vec<Line>,
+    /// Records, sorted by offset.
+    pub entries: Vec<Entry>,
     log: Client,
 }
 
 impl Stream {
-    /// Reads the whole stream. Needs memory for all its records.
+    /// Reads the whole stream into memory.
     pub async fn read(common: &Common) -> Result<Stream, Error> {
         let log = common.log()?;
-        let mut stream = Stream { state: State::new(), lines: vec![], log };
+        let mut stream = Stream { state: State::new(), entries: vec![], log };
         while stream.advance(Duration::ZERO).await? {}
         Ok(stream)
     }
 
-    /// The same; where too much has expired to judge, the VMs are asked what is in force.
+    /// Like [`read`](Stream::read), but queries the VMs for the version in force if records
+    /// that are needed to judge have expired.
     pub async fn with_peers(common: &Common) -> Result<Stream, Error> {
         let mut stream = Stream::read(common).await?;
         if !stream.state.knows_base() && common.has_peers() {
-            stream.ask(common).await?;
+            stream.adopt_from_vms(common).await?;
         }
         match stream.state.knows_base() || stream.state.version > 0 {
             true => Ok(stream),
-            false => Err(Error::Unreachable(EXPIRED.to_string())),
+            false => Err(Error::Unreachable(BASE_EXPIRED.to_string())),
         }
     }
 
-    /// Reads a page, waiting up to `wait` for a first record. False when there was none.
+    /// Reads a page and waits up to `wait` for its first record. Returns false if there is none.
     pub async fn advance(&mut self, wait: Duration) -> Result<bool, Error> {
         let page = match self.log.read(change::STREAM, self.state.next, wait).await {
-            // The stream comes into being with its first record.
+            // The stream does not exist before its first record.
             Err(e) if e.status() == Some(404) => Page::default(),
             page => page?,
         };
         self.state.skip(page.first);
         for record in &page.records {
-            self.take(record);
+            self.judge(record);
         }
         Ok(!page.records.is_empty())
     }
@@ -86,29 +88,29 @@
         self.log.append(change::STREAM, &data).await
     }
 
-    /// Takes over the highest version that the VMs have in force.
-    pub async fn ask(&mut self, common: &Common) -> Result<(), Error> {
+    /// Adopts the highest version in force at the VMs.
+    pub async fn adopt_from_vms(&mut self, common: &Common) -> Result<(), Error> {
         for settings in peer::settings(common).await? {
             self.state.adopt(settings.version, &settings.text);
         }
         Ok(())
     }
 
-    /// The record that brought a version into force, or one that keeps it.
-    pub fn version(&self, version: u64) -> Option<&Line> {
-        self.lines.iter().find(|line| line.version() == Some(version))
+    /// Returns the first record that brought a version into force or kept it in force.
+    pub fn version(&self, version: u64) -> Option<&Entry> {
+        self.entries.iter().find(|entry| entry.version() == Some(version))
     }
 
-    fn take(&mut self, record: &cloud::log::Record) {
-        self.lines.push(Line {
+    fn judge(&mut self, record: &cloud::log::Record) {
+        self.entries.push(Entry {
             offset: record.offset,
             time_ms: record.time_ms,
             change: serde_json::from_str(&record.data).ok(),
             verdict: Verdict::Pending,
         });
         for (offset, verdict) in self.state.judge_with_pending(record.offset, &record.data) {
-            if let Ok(i) = self.lines.binary_search_by_key(&offset, |line| line.offset) {
-                self.lines[i].verdict = verdict;
+            if let Ok(i) = self.entries.binary_search_by_key(&offset, |entry| entry.offset) {
+                self.entries[i].verdict = verdict;
             }
         }
     }
--- a/crates/ctl/tests/certs.rs
+++ b/crates/ctl/tests/certs.rs
@@ -1,4 +1,4 @@
-//! `hyssopctl certs`: the certificates do for links in both directions.
+//! `hyssopctl certs`: the certificates are valid for both directions of a connection.
 
 mod work;
 
@@ -11,12 +11,16 @@
 use work::{Work, any};
 
 fn pair(folder: &Path, vm: &str) -> tls::Pair {
-    let file = |ending: &str| folder.join(format!("{vm}.{ending}"));
+    let file = |extension: &str| folder.join(format!("{vm}.{extension}"));
     tls::load(&folder.join("ca.pem"), &file("pem"), &file("key")).unwrap()
 }
 
-/// One question from `client` to `server`, which is known as `name`.
-async fn ask(server: &tls::Pair, name: &str, client: &tls::Pair) -> Result<Tell, link::Error> {
+/// Sends one request from `client` to `server`, whose name is expected to be `name`.
+async fn send_request(
+    server: &tls::Pair,
+    name: &str,
+    client: &tls::Pair,
+) -> Result<Tell, link::Error> {
     let server = link::bind(any(), server).unwrap();
     let address = server.local_addr().unwrap().to_string();
     tokio::spawn(async move {
@@ -44,12 +48,12 @@
 
     let folder = work.0.join("c");
     let (entry, gpu) = (pair(&folder, "entry-1"), pair(&folder, "gpu-1"));
-    assert_eq!(ask(&entry, "entry-1", &gpu).await.unwrap(), Tell::Ok);
-    assert_eq!(ask(&gpu, "gpu-1", &entry).await.unwrap(), Tell::Ok);
-    assert!(ask(&gpu, "gpu-2", &entry).await.is_err(), "another VM's name was trusted");
+    assert_eq!(send_request(&entry, "entry-1", &gpu).await.unwrap(), Tell::Ok);
+    assert_eq!(send_request(&gpu, "gpu-1", &entry).await.unwrap(), Tell::Ok);
+    assert!(send_request(&gpu, "gpu-2", &entry).await.is_err(), "another VM's name was trusted");
 }
 
-// Somebody makes an authority of their own and tries to join the fleet.
+// An attacker makes an authority of its own and tries to join the fleet.
 #[tokio::test]
 async fn a_certificate_of_another_authority_is_not_trusted() {
     let work = Work::new("certs-other");
@@ -57,11 +61,11 @@
         assert_eq!(work.run(&["certs", "--out", folder, "--vm", "gpu-1"]).await.code, 0);
     }
     let (own, other) = (pair(&work.0.join("a"), "gpu-1"), pair(&work.0.join("b"), "gpu-1"));
-    assert!(ask(&own, "gpu-1", &other).await.is_err());
+    assert!(send_request(&own, "gpu-1", &other).await.is_err());
 }
 
 #[tokio::test]
-async fn keys_are_for_their_owner_only_and_renewed_on_request() {
+async fn keys_are_readable_by_their_owner_only_and_renewed_on_request() {
     let work = Work::new("certs-mode");
     work.run(&["certs", "--out", "c", "--vm", "gpu-1"]).await;
     let old = work.read("c/gpu-1.key");
@@ -79,17 +83,17 @@
 #[case("../x")]
 #[case("GPU")]
 #[tokio::test]
-async fn a_name_that_can_not_be_a_vm_is_refused(#[case] name: &str) {
+async fn an_invalid_vm_name_is_refused(#[case] name: &str) {
     let work = Work::new(&format!("certs-name-{}", name.len()));
     let run = work.run(&["certs", "--out", "c", "--vm", name]).await;
     assert_eq!(run.code, 2, "{run:?}");
     assert!(!work.0.join("c").exists());
 }
 
-// The authority's key is kept elsewhere and was not copied back. A new one beside the old
-// certificate would make files that no VM trusts, found out only when links fail.
+// The authority's key is stored elsewhere and was not copied back. A new key beside the old
+// certificate would sign certificates that no VM trusts, noticed only when connections fail.
 #[tokio::test]
-async fn half_an_authority_is_refused() {
+async fn an_authority_without_its_key_is_refused() {
     let work = Work::new("certs-half");
     work.run(&["certs", "--out", "c", "--vm", "gpu-1"]).await;
     std::fs::remove_file(work.0.join("c/ca.key")).unwrap();
--- a/crates/ctl/tests/check.rs
+++ b/crates/ctl/tests/check.rs
@@ -12,7 +12,7 @@
     text: &'static str,
     args: &'static [&'static str],
     code: i32,
-    says: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 #[rstest]
@@ -21,35 +21,35 @@
     text: "[defaults]\ndrain = 30s\n",
     args: &["check", "f.ini"],
     code: 0,
-    says: &["1 checked, no faults"],
+    expected: &["1 checked, no faults"],
 })]
 #[case(Case {
     name: "check-all",
     text: "[defaults]\ndrain = 30\nnew = 1\n[what]\n",
     args: &["check", "f.ini"],
     code: 1,
-    says: &["f.ini: [defaults] drain: found '30'", "[defaults] new", "[what]"],
+    expected: &["f.ini: [defaults] drain: found '30'", "[defaults] new", "[what]"],
 })]
 #[case(Case {
     name: "check-json",
     text: "[defaults]\ndrain = 30\n",
     args: &["check", "f.ini", "--json"],
     code: 1,
-    says: &["\"key\": \"drain\"", "\"found\": \"30\""],
+    expected: &["\"key\": \"drain\"", "\"found\": \"30\""],
 })]
 #[case(Case {
     name: "check-process",
     text: PROCESS,
     args: &["check", "--process", "f.ini"],
     code: 1,
-    says: &["[tls]", "[platform]", "listen"],
+    expected: &["[tls]", "[platform]", "listen"],
 })]
 #[case(Case {
     name: "check-none",
     text: "",
     args: &["check", "other.ini"],
     code: 1,
-    says: &["other.ini", "a readable file"],
+    expected: &["other.ini", "a readable file"],
 })]
 #[tokio::test]
 async fn check(#[case] case: Case) {
@@ -57,7 +57,7 @@
     work.write("f.ini", case.text);
     let run = work.run(case.args).await;
     assert_eq!(run.code, case.code, "{run:?}");
-    for words in case.says {
+    for words in case.expected {
         assert!(run.out.contains(words), "{words}: {run:?}");
     }
 }
--- a/crates/ctl/tests/explain.rs
+++ b/crates/ctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `hyssopctl explain` over the lines that gateways wrote.
+//! `hyssopctl explain` with log lines of gateways.
 
 mod work;
 
@@ -19,11 +19,11 @@
  1.5 entry-2 2026-07-04T02:52:36.500000000Z [INFO] gateway: gives_orders=true epoch=7 orders_end=3
 ";
 
-/// A caller complains of one request, and the engineer on call has the output of two routers. Only what
-/// concerns that request may be shown, in the order of time over both files: with the rest the
-/// cause drowns, and without what the routers believed it is not there.
+/// A caller complains of one request, and the engineer on call has the output of two routers. Lines of
+/// other requests would hide the cause, and without the lines about the routers' state it would be missing:
+/// only lines that concern the request are shown, from both files in the order of time.
 #[tokio::test]
-async fn a_request_and_what_was_believed_around_it() {
+async fn a_request_and_the_state_around_it() {
     let work = Work::new("explain-lines");
     work.write("entry-1.log", ONE);
     work.write("all.log", TWO);
@@ -43,18 +43,18 @@
 struct Case {
     args: &'static [&'static str],
     code: i32,
-    says: &'static str,
+    expected: &'static str,
 }
 
-/// A wrong id or file gets an answer that says so, and the exit code of a fault.
+/// An unknown id or file gives a message that names it, and the exit code of an error.
 #[rstest::rstest]
-#[case::unknown(Case { args: &["explain", "cc33", "--output", "entry-1.log"], code: 1, says: "none of 7 lines is of request cc33" })]
-#[case::no_file(Case { args: &["explain", "aa11", "--output", "other.log"], code: 2, says: "reading other.log" })]
+#[case::unknown(Case { args: &["explain", "cc33", "--output", "entry-1.log"], code: 1, expected: "none of 7 lines is of request cc33" })]
+#[case::no_file(Case { args: &["explain", "aa11", "--output", "other.log"], code: 2, expected: "reading other.log" })]
 #[tokio::test]
-async fn faults(#[case] case: Case) {
+async fn unknown_ids_and_files(#[case] case: Case) {
     let work = Work::new(case.args[3]);
     work.write("entry-1.log", ONE);
     let run = work.run(case.args).await;
     assert_eq!(run.code, case.code, "{run:?}");
-    assert!(run.err.contains(case.says), "{run:?}");
+    assert!(run.err.contains(case.expected), "{run:?}");
 }
--- a/crates/ctl/tests/publish.rs
+++ b/crates/ctl/tests/publish.rs
@@ -64,7 +64,8 @@
     assert_eq!(bench.run(&["audit", "--limit", "1"]).await.out.lines().count(), 2);
 }
 
-// Two operators edit version 1. The second to publish is told, instead of undoing the first.
+// Two operators edit version 1. The second to publish is refused instead of undoing the first
+// operator's change.
 #[tokio::test]
 async fn a_change_made_from_an_older_version_is_refused() {
     let bench = Bench::new("publish-older");
@@ -72,12 +73,12 @@
     bench.publish(2, &["--base", "1"]).await;
     let run = bench.publish(3, &["--base", "1"]).await;
     assert_eq!(run.code, 1, "{run:?}");
-    let told = "version 2 by asel is in force, made from 1; yours was made from 1";
-    assert!(run.err.contains(told), "{run:?}");
+    let refusal = "version 2 by asel is in force, made from 1; yours was made from 1";
+    assert!(run.err.contains(refusal), "{run:?}");
     assert_eq!(bench.run(&["show"]).await.out, text(2));
 }
 
-// Operators send at the very same time, so that each has read the same version before.
+// Operators publish at the same time, after each has read the same version.
 #[tokio::test(flavor = "multi_thread")]
 async fn of_changes_at_the_same_time_exactly_one_wins() {
     let bench = Bench::new("publish-race");
@@ -94,10 +95,10 @@
     assert_eq!(codes, [0, 1, 1, 1]);
 }
 
-// The log takes the record, and the connection breaks before its answer. An operator who
-// was told of a failure would publish again, or believe that the old limits hold.
+// The log appends the record, and the connection breaks before its answer. If the command
+// reported a failure, the operator would publish again or assume that the old limits apply.
 #[tokio::test]
-async fn a_lost_answer_is_settled_by_reading() {
+async fn a_lost_answer_is_replaced_by_reading_back() {
     let bench = Bench::new("publish-lost");
     control(&bench.log.url(), &Fault { lose_answers: Some(1), ..Fault::default() }).await;
     let run = bench.publish(1, &[]).await;
@@ -110,7 +111,7 @@
 #[case::outage("publish-outage", Fault { outage: Some(true), ..Fault::default() })]
 #[case::refused("publish-refused", Fault { refuse_next: Some(1), ..Fault::default() })]
 #[tokio::test]
-async fn a_log_that_takes_nothing_is_said_so(#[case] name: &str, #[case] fault: Fault) {
+async fn a_log_that_appends_nothing_is_reported(#[case] name: &str, #[case] fault: Fault) {
     let bench = Bench::new(name);
     control(&bench.log.url(), &fault).await;
     assert_eq!(bench.publish(1, &[]).await.code, 3);
@@ -127,8 +128,8 @@
     assert_eq!(bench.run(&["audit"]).await.out.lines().count(), 1);
 }
 
-// The change in force has expired in the log. With a carried record an operator can go on;
-// without one the log alone can't say what is in force, and a guess could undo a change.
+// The change in force has expired in the log. Without a carried record the log alone does not
+// give the version in force, and a guess could undo a change; with one an operator can publish.
 #[tokio::test]
 async fn after_expiry_a_carried_record_is_needed() {
     let bench = Bench::new("publish-expired");
@@ -157,9 +158,9 @@
     assert_eq!((run.code, run.out.as_str()), (0, "version 4 is in force\n"), "{run:?}");
 }
 
-// All VMs were gone for longer than the log keeps records.
+// All VMs were down for longer than the log keeps records.
 #[tokio::test]
-async fn a_fleet_that_was_gone_for_long_can_start_anew() {
+async fn a_fleet_that_was_down_for_long_can_restart_the_stream() {
     let bench = Bench::new("publish-restart");
     bench.work.run(&["certs", "--out", ".", "--vm", "op"]).await;
     let list = fake::serve::bind(work::any()).unwrap();
@@ -189,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn a_log_that_is_not_there_can_not_be_reached() {
+async fn a_missing_log_is_unreachable() {
     let work = Work::new("publish-nowhere");
     let run = work.run(&["--log", "http://127.0.0.1:1", "show"]).await;
     assert_eq!(run.code, 3, "{run:?}");
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -1,4 +1,4 @@
-//! `status` and `explain` against VMs that answer, answer oddly, or don't.
+//! `status` and `explain` with VMs that answer, give an invalid answer, or don't answer.
 
 mod work;
 
@@ -10,7 +10,7 @@
 use wire::{link, tls};
 use work::{Run, Work, any};
 
-/// A fleet of stand-in daemons, each with its answer to every question.
+/// A fleet of stand-in daemons, each of which gives one fixed answer to every request.
 struct Fleet {
     work: Work,
     list: Server,
@@ -26,18 +26,18 @@
         let list = fake::vms::start(serve::bind(any()).unwrap(), options).unwrap();
         let mut fleet = Fleet { work, list, endpoints: vec![] };
         for (vm, role, text) in vms {
-            let file = |ending: &str| fleet.work.0.join(format!("{vm}.{ending}"));
+            let file = |extension: &str| fleet.work.0.join(format!("{vm}.{extension}"));
             let pair = tls::load(&fleet.work.0.join("ca.pem"), &file("pem"), &file("key"));
             let endpoint = link::bind(any(), &pair.unwrap()).unwrap();
             let address = endpoint.local_addr().unwrap().to_string();
             tokio::spawn(answer(endpoint.clone(), text));
             fleet.endpoints.push(endpoint);
-            fleet.enlist(vm, *role, &address).await;
+            fleet.add_to_list(vm, *role, &address).await;
         }
         fleet
     }
 
-    async fn enlist(&self, vm: &str, role: Role, address: &str) {
+    async fn add_to_list(&self, vm: &str, role: Role, address: &str) {
         let http = rest::Client::new(&self.list.url(), Duration::from_secs(5));
         let entry = Entry {
             vm: vm.to_string(),
@@ -84,13 +84,13 @@
     assert!(fleet.run(&["status", "--json"]).await.out.contains("\"incarnation\": 5"));
 }
 
-// A VM has died and the platform's list still shows it as live, or a daemon of another
-// release answers what this one does not understand. The others are shown all the same.
+// A VM has died and the platform's list still shows it as live, or a daemon of another release
+// gives an answer that does not decode. The other VMs are still shown.
 #[tokio::test]
 async fn a_vm_that_does_not_answer_is_named() {
     let vms = [("gpu-1", Role::Agent, GPU), ("gpu-2", Role::Agent, "what?")];
     let fleet = Fleet::new("status-dead", &vms).await;
-    fleet.enlist("gpu-3", Role::Agent, "127.0.0.1:1").await;
+    fleet.add_to_list("gpu-3", Role::Agent, "127.0.0.1:1").await;
     let run = fleet.run(&["status"]).await;
     assert_eq!(run.code, 3, "{run:?}");
     assert!(run.out.contains("serving"), "{run:?}");
@@ -104,7 +104,7 @@
     "{\"time_ms\":1000,\"text\":\"let in\"}\n{\"time_ms\":3000,\"text\":\"sent\"}\n";
 
 #[tokio::test]
-async fn what_is_known_of_a_request_comes_in_the_order_of_time() {
+async fn events_of_a_request_are_in_the_order_of_time() {
     let vms = [
         ("gpu-1", Role::Agent, HEAD),
         ("entry-1", Role::Router, ENTRY),
@@ -119,9 +119,9 @@
     assert!(run.out.contains("1970-01-01T00:00:02.000Z"), "{run:?}");
 }
 
-// The VM that drove the request was replaced; what it knew went with it.
+// The VM that ran the request was replaced, and its events are lost.
 #[tokio::test]
-async fn a_vm_that_has_gone_is_named_and_the_routers_are_still_asked() {
+async fn a_removed_vm_is_named_and_the_routers_are_still_queried() {
     let fleet = Fleet::new("explain-gone", &[("entry-1", Role::Router, "")]).await;
     let run = fleet.run(&["explain", "gpu-9.5.abc"]).await;
     assert_eq!(run.code, 3, "{run:?}");
--- a/crates/ctl/tests/work/mod.rs
+++ b/crates/ctl/tests/work/mod.rs
@@ -1,4 +1,4 @@
-//! A scratch folder in which the real binary runs, and stand-ins to run it against.
+//! A scratch folder to run the binary in, and stand-ins for the platform.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use fake::serve::{self, Server};
 use tokio::process::Command;
 
-/// What a run of the binary gave.
+/// Exit code and output of a run of the binary.
 #[derive(Debug)]
 pub struct Run {
     pub code: i32,
@@ -15,7 +15,7 @@
     pub err: String,
 }
 
-/// A scratch folder that goes when it is dropped.
+/// A scratch folder that is removed on drop.
 #[derive(Debug)]
 pub struct Work(pub PathBuf);
 
@@ -38,11 +38,11 @@
     /// Runs the binary in the folder.
     pub async fn run(&self, args: &[&str]) -> Run {
         let mut command = Command::new(env!("CARGO_BIN_EXE_hyssopctl"));
-        let done = command.current_dir(&self.0).args(args).output().await.unwrap();
+        let output = command.current_dir(&self.0).args(args).output().await.unwrap();
         Run {
-            code: done.status.code().unwrap(),
-            out: String::from_utf8(done.stdout).unwrap(),
-            err: String::from_utf8(done.stderr).unwrap(),
+            code: output.status.code().unwrap(),
+            out: String::from_utf8(output.stdout).unwrap(),
+            err: String::from_utf8(output.stderr).unwrap(),
         }
     }
 }
@@ -53,18 +53,18 @@
     }
 }
 
-/// Any free port of this machine.
+/// Returns a loopback address with any free port.
 pub fn any() -> SocketAddr {
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// The log service.
+/// Starts a stand-in of the log service.
 pub fn log() -> Server {
     let options = fake::log::Options { rate: 400, retain: 1000 };
     fake::log::start(serve::bind(any()).unwrap(), options).unwrap()
 }
 
-/// Sets a fault of a stand-in.
+/// Sets a fault at a stand-in.
 pub async fn control<T: serde::Serialize>(url: &str, fault: &T) {
     let http = rest::Client::new(url, std::time::Duration::from_secs(5));
     let _: serde_json::Value = http.post("/~fake/control", fault).await.unwrap();
