--- a/crates/config/src/fault.rs
+++ b/crates/config/src/fault.rs
@@ -10,7 +10,7 @@
     pub file: String,
     /// Title of the section.
     pub section: String,
-    /// Key; empty when the whole section is wrong.
+    /// Key; empty when the fault concerns the section.
     pub key: String,
     /// Value found.
     pub found: String,
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -12,7 +12,7 @@
 /// Show the state of every VM in the platform's list.
 ///
 /// Queries all VMs concurrently. Exits with 3 when a VM that is listed as live does not
-/// answer; the list lags behind, so the VM may have gone a moment ago.
+/// answer; the list lags behind, so the VM may have been removed a moment ago.
 #[derive(Debug, clap::Args)]
 #[command(after_help = "Example:\n  hyssopctl --vms http://127.0.0.1:9001 --tls certs \
                         --as operator status")]
