--- a/crates/ctl/tests/check.rs
+++ b/crates/ctl/tests/check.rs
@@ -1,9 +1,9 @@
 //! `hyssopctl check`.
 
-mod work;
+mod scratch;
 
 use rstest::rstest;
-use work::Work;
+use scratch::Scratch;
 
 const PROCESS: &str = "[process]\nvm = entry-1\n";
 
@@ -12,7 +12,7 @@
     text: &'static str,
     args: &'static [&'static str],
     code: i32,
-    says: &'static [&'static str],
+    expected: &'static [&'static str],
 }
 
 #[rstest]
@@ -21,43 +21,43 @@
     text: "[defaults]\ndrain = 30s\n",
     args: &["check", "f.ini"],
     code: 0,
-    says: &["1 checked, no faults"],
+    expected: &["1 checked, no faults"],
 })]
 #[case(Case {
     name: "check-all",
     text: "[defaults]\ndrain = 30\nnew = 1\n[what]\n",
     args: &["check", "f.ini"],
     code: 1,
-    says: &["f.ini: [defaults] drain: found '30'", "[defaults] new", "[what]"],
+    expected: &["f.ini: [defaults] drain: found '30'", "[defaults] new", "[what]"],
 })]
 #[case(Case {
     name: "check-json",
     text: "[defaults]\ndrain = 30\n",
     args: &["check", "f.ini", "--json"],
     code: 1,
-    says: &["\"key\": \"drain\"", "\"found\": \"30\""],
+    expected: &["\"key\": \"drain\"", "\"found\": \"30\""],
 })]
 #[case(Case {
     name: "check-process",
     text: PROCESS,
     args: &["check", "--process", "f.ini"],
     code: 1,
-    says: &["[tls]", "[platform]", "listen"],
+    expected: &["[tls]", "[platform]", "listen"],
 })]
 #[case(Case {
     name: "check-none",
     text: "",
     args: &["check", "other.ini"],
     code: 1,
-    says: &["other.ini", "a readable file"],
+    expected: &["other.ini", "a readable file"],
 })]
 #[tokio::test]
 async fn check(#[case] case: Case) {
-    let work = Work::new(case.name);
-    work.write("f.ini", case.text);
-    let run = work.run(case.args).await;
+    let scratch = Scratch::new(case.name);
+    scratch.write("f.ini", case.text);
+    let run = scratch.run(case.args).await;
     assert_eq!(run.code, case.code, "{run:?}");
-    for words in case.says {
+    for words in case.expected {
         assert!(run.out.contains(words), "{words}: {run:?}");
     }
 }
@@ -70,6 +70,6 @@
 #[case(&["publish", "f.ini"])]
 #[tokio::test]
 async fn wrong_usage_has_its_own_code(#[case] args: &[&str]) {
-    let run = Work::new(&format!("usage-{}", args.concat())).run(args).await;
+    let run = Scratch::new(&format!("usage-{}", args.concat())).run(args).await;
     assert_eq!(run.code, 2, "{run:?}");
 }
