--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/ask.rs
@@ -84,7 +84,7 @@
         while tokio::time::Instant::now() < due {
             tokio::time::sleep(LOOK.min(interval)).await;
             let freed = sent.busy >= sent.slots && agent.slots.busy() < agent.slots.open();
-            let refused = agent.node.quarantine.lists().1;
+            let refused = agent.node.quarantine.suspects_and_refused().1;
             let news = agent.leaving() != sent.leaving || refused != sent.quarantined;
             if freed || news || agent.backend() != sent.backend {
                 break;
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -115,8 +115,8 @@
             };
             ran.map(name).collect()
         };
-        node.metrics.crashes.add(1, &[]);
-        node.quarantine.crashed(incarnation, running);
+        node.metrics.engine_crashes.add(1, &[]);
+        node.quarantine.record_crash(incarnation, running);
     }
 }
 
--- a/crates/agent/src/draft.rs
+++ b/crates/agent/src/draft.rs
@@ -198,8 +198,8 @@
     };
     let end =
         generated.map(|tokens| Done { tokens, replaced: chain.replaced, repeated: chain.repeated });
-    agent.node.metrics.replaced.add(chain.replaced.into(), &[]);
-    agent.node.metrics.repeated.add(chain.repeated, &[]);
+    agent.node.metrics.stages_replaced.add(chain.replaced.into(), &[]);
+    agent.node.metrics.layer_runs_repeated.add(chain.repeated, &[]);
     let text = match &end {
         Ok(done) => format!("complete with {} tokens", done.tokens),
         Err(refusal) => refusal.to_string(),
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -67,7 +67,7 @@
 
     /// Its state for the routers.
     pub fn report(&self) -> Report {
-        let (suspects, quarantined) = self.node.quarantine.lists();
+        let (suspects, quarantined) = self.node.quarantine.suspects_and_refused();
         Report {
             vm: self.node.process.vm.clone(),
             incarnation: self.node.incarnation,
--- a/crates/agent/src/order.rs
+++ b/crates/agent/src/order.rs
@@ -90,7 +90,7 @@
     let mut found: Option<Gaps> = None;
     for router in asked {
         let ask = Ask::Gaps(own.clone());
-        let asked = node.peers.ask(&router.vm, &router.address, &ask);
+        let asked = node.peers.request(&router.vm, &router.address, &ask);
         if let Ok(Ok(Tell::Gaps(mut gaps))) = timeout(ANSWER, asked).await {
             if let Some(other) = found.take() {
                 gaps.lost.retain(|stage| other.lost.contains(stage));
--- a/crates/agent/src/seat.rs
+++ b/crates/agent/src/seat.rs
@@ -6,7 +6,7 @@
 use cloud::vm::Role;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
-use node::alive::Wait;
+use node::liveness::WaitGuard;
 use rand::seq::IndexedRandom;
 use tokio::time::{sleep, timeout};
 use wire::frame::{Ask, Open, Output, Place, Stage, Step, Tell};
@@ -34,7 +34,7 @@
     /// At the engine beside this agent.
     Here(Box<stage::Session>),
     /// At another agent, whose loss is noticed while the draft runs.
-    There(Stream, Wait),
+    There(Stream, WaitGuard),
 }
 
 impl Seat {
@@ -98,7 +98,7 @@
         Refusal::not_run(Cause::Unavailable, "open", &place.vm, e.to_string())
     };
     let peers = &agent.node.peers;
-    let wait = peers.wait(&place.vm, &place.address);
+    let wait = peers.register_wait(&place.vm, &place.address);
     let mut stream = peers.open(&place.vm, &place.address, &Ask::Open(open)).await.map_err(down)?;
     match stream.expect().await.map_err(down)? {
         Tell::Opened => Ok(Seat::There(stream, wait)),
@@ -126,7 +126,7 @@
     let routers: Vec<_> = list.iter().filter(|e| e.role == Role::Router).collect();
     let Some(router) = routers.choose(&mut rand::rng()) else { return Vec::new() };
     let ask = Ask::Replicas(stage.clone());
-    let asked = agent.node.peers.ask(&router.vm, &router.address, &ask);
+    let asked = agent.node.peers.request(&router.vm, &router.address, &ask);
     match timeout(REPLICAS_TIMEOUT, asked).await {
         Ok(Ok(Tell::Places(places))) => places,
         _ => Vec::new(),
--- a/crates/agent/src/stage.rs
+++ b/crates/agent/src/stage.rs
@@ -305,7 +305,7 @@
     async fn at_engine(&mut self, step: &Step, alone: bool) -> Result<engine::Output, Refusal> {
         let table = self.table.clone();
         if alone {
-            table.node.quarantine.suspected_elsewhere(self.fingerprint);
+            table.node.quarantine.merge_suspect(self.fingerprint);
         }
         self.turn.begin();
         let begun = Instant::now();
@@ -336,7 +336,7 @@
         }
         if alone {
             self.suspect = false;
-            table.node.quarantine.cleared(self.fingerprint);
+            table.node.quarantine.record_cleared(self.fingerprint);
         }
         Ok(ran)
     }
--- a/crates/agent/src/write/follow.rs
+++ b/crates/agent/src/write/follow.rs
@@ -74,7 +74,7 @@
         let window = node.settings.borrow().fleet.defaults.key_window;
         let before = undecodable(&writer);
         let next = take(&writer, &mut clock, &page);
-        node.metrics.undecodable.add(undecodable(&writer).saturating_sub(before), &[]);
+        node.metrics.undecodable_records.add(undecodable(&writer).saturating_sub(before), &[]);
         void_abandoned(&writer);
         if next >= page.next {
             caught_up(&writer, &mut clock, window);
--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -5,7 +5,7 @@
 
 use config::process::Process;
 
-use crate::{Error, logs, read};
+use crate::{Error, load_process, logs};
 
 /// What the help of each daemon ends with.
 pub const EXIT_CODES: &str = "Exit codes: 0 stopped or checked, 1 could not start or faults found.";
@@ -27,7 +27,7 @@
     part: &str,
     run: impl AsyncFnOnce(Process) -> Result<(), Error>,
 ) -> ExitCode {
-    let process = match read(&options.settings) {
+    let process = match load_process(&options.settings) {
         Ok(process) if options.check => {
             println!("{} is a valid settings file for {}", options.settings.display(), process.vm);
             return ExitCode::SUCCESS;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,9 @@
 //! What every daemon shares: its settings in force, its links to peers, the VM
 //! list, logs, metrics, health pages, a trace of requests, and stopping.
 
-pub mod alive;
 pub mod daemon;
 pub mod health;
+pub mod liveness;
 pub mod logs;
 pub mod metrics;
 pub mod peers;
@@ -67,7 +67,7 @@
 }
 
 /// Reads a process file and prints its faults. For `--check` and at the start.
-pub fn read(file: &Path) -> Result<Process, Error> {
+pub fn load_process(file: &Path) -> Result<Process, Error> {
     config::process::load(file).map_err(|e| Error::new("read settings", e))
 }
 
--- a/crates/node/src/alive.rs
+++ b/crates/node/src/liveness.rs
@@ -35,31 +35,31 @@
 
 /// Counts who waits for a peer.
 #[derive(Debug, Default)]
-pub struct Waits {
+pub struct Waiters {
     count: AtomicU32,
     more: Notify,
 }
 
 /// Somebody waits for the peer until this is dropped.
 #[derive(Debug)]
-pub struct Wait {
-    waits: Arc<Waits>,
+pub struct WaitGuard {
+    waits: Arc<Waiters>,
 }
 
-impl Waits {
+impl Waiters {
     /// Counts one more until the answer is dropped.
     ///
     /// ```
-    /// let waits = std::sync::Arc::new(node::alive::Waits::default());
-    /// let wait = waits.begin();
+    /// let waits = std::sync::Arc::new(node::liveness::Waiters::default());
+    /// let wait = waits.register();
     /// assert!(waits.any());
     /// drop(wait);
     /// assert!(!waits.any());
     /// ```
-    pub fn begin(self: &Arc<Waits>) -> Wait {
+    pub fn register(self: &Arc<Waiters>) -> WaitGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         self.more.notify_one();
-        Wait { waits: self.clone() }
+        WaitGuard { waits: self.clone() }
     }
 
     /// True while somebody waits.
@@ -68,7 +68,7 @@
     }
 }
 
-impl Drop for Wait {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.waits.count.fetch_sub(1, Ordering::AcqRel);
     }
@@ -107,7 +107,7 @@
 
 /// Closes the connection when its peer has gone while somebody waits, so that
 /// all who wait hear of it at once. Returns why.
-pub async fn watch(own: IpAddr, connection: Connection, waits: Arc<Waits>) -> &'static str {
+pub async fn watch(own: IpAddr, connection: Connection, waits: Arc<Waiters>) -> &'static str {
     let mut heard = 0;
     let mut silent = 0;
     let mut port = None;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -28,7 +28,7 @@
 
 /// Gauges by `target`.
 #[derive(Debug)]
-struct Queues {
+struct QueueGauges {
     waiting: Gauge<u64>,
     running: Gauge<u64>,
     free: Gauge<u64>,
@@ -46,7 +46,7 @@
     requests: Counter<u64>,
     /// Requests a router refused by `cause`.
     refusals: Counter<u64>,
-    queues: Queues,
+    queues: QueueGauges,
     /// Generated tokens.
     pub tokens: Counter<u64>,
     /// Seconds to the first token.
@@ -56,13 +56,13 @@
     /// Retries by `cause`.
     pub retries: Counter<u64>,
     /// Stage replacements by `cause`.
-    pub replaced: Counter<u64>,
+    pub stages_replaced: Counter<u64>,
     /// Layer runs repeated because a stage's state was lost.
-    pub repeated: Counter<u64>,
+    pub layer_runs_repeated: Counter<u64>,
     /// Log records that did not decode, by `stream`.
-    pub undecodable: Counter<u64>,
+    pub undecodable_records: Counter<u64>,
     /// Engine crashes seen.
-    pub crashes: Counter<u64>,
+    pub engine_crashes: Counter<u64>,
 }
 
 impl Metrics {
@@ -103,7 +103,7 @@
         Ok(Metrics {
             requests: meter.u64_counter("hyssop_requests").build(),
             refusals: meter.u64_counter("hyssop_refusals").build(),
-            queues: Queues {
+            queues: QueueGauges {
                 waiting: meter.u64_gauge("hyssop_queue_waiting").build(),
                 running: meter.u64_gauge("hyssop_queue_running").build(),
                 free: meter.u64_gauge("hyssop_slots_free").build(),
@@ -114,22 +114,22 @@
             first_token: meter.f64_histogram("hyssop_first_token_seconds").build(),
             between_tokens: meter.f64_histogram("hyssop_between_tokens_seconds").build(),
             retries: meter.u64_counter("hyssop_retries").build(),
-            replaced: meter.u64_counter("hyssop_stages_replaced").build(),
-            repeated: meter.u64_counter("hyssop_layer_runs_repeated").build(),
-            undecodable: meter.u64_counter("hyssop_log_records_undecodable").build(),
-            crashes: meter.u64_counter("hyssop_engine_crashes").build(),
+            stages_replaced: meter.u64_counter("hyssop_stages_replaced").build(),
+            layer_runs_repeated: meter.u64_counter("hyssop_layer_runs_repeated").build(),
+            undecodable_records: meter.u64_counter("hyssop_log_records_undecodable").build(),
+            engine_crashes: meter.u64_counter("hyssop_engine_crashes").build(),
             registry,
             _provider: provider,
         })
     }
 
     /// Counts a request that a router refused.
-    pub fn refused(&self, cause: &str) {
+    pub fn count_refusal(&self, cause: &str) {
         self.refusals.add(1, &[KeyValue::new("cause", cause.to_string())]);
     }
 
     /// Shows the state of a model or plain service.
-    pub fn gauges(&self, state: &Gauges<'_>) {
+    pub fn record_gauges(&self, state: &Gauges<'_>) {
         let target = [KeyValue::new("target", state.target.to_string())];
         self.queues.waiting.record(state.waiting, &target);
         self.queues.running.record(state.running, &target);
@@ -140,7 +140,7 @@
 
     /// Counts a request that has ended: `kind` is draft or call, `outcome` is answered
     /// or that of its refusal.
-    pub fn ended(&self, kind: &'static str, outcome: &str) {
+    pub fn count_request(&self, kind: &'static str, outcome: &str) {
         let outcome = KeyValue::new("outcome", outcome.to_string());
         self.requests.add(1, &[KeyValue::new("kind", kind), outcome]);
     }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -8,7 +8,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use wire::link::{self, Stream};
 
-use crate::alive::{self, Wait, Waits};
+use crate::liveness::{self, WaitGuard, Waiters};
 use crate::traffic::Traffic;
 
 /// A peer that was lost is not connected to again for this long. Without it all
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     link: tokio::sync::Mutex<Option<Connection>>,
-    waits: Arc<Waits>,
+    waits: Arc<Waiters>,
     lost: Mutex<Option<Instant>>,
 }
 
@@ -59,7 +59,7 @@
     }
 
     /// Sends one frame and returns the one answer.
-    pub async fn ask<T: Serialize, A: DeserializeOwned>(
+    pub async fn request<T: Serialize, A: DeserializeOwned>(
         &self,
         vm: &str,
         address: &str,
@@ -72,8 +72,8 @@
 
     /// Says that an answer of a peer is awaited until the result is dropped. Its
     /// loss then breaks all streams to it within a few hundred milliseconds.
-    pub fn wait(&self, vm: &str, address: &str) -> Wait {
-        self.peer(vm, address).waits.begin()
+    pub fn register_wait(&self, vm: &str, address: &str) -> WaitGuard {
+        self.peer(vm, address).waits.register()
     }
 
     /// The connection to a peer; a new one when there is none or it has ended.
@@ -88,7 +88,7 @@
         }
         let opened = tokio::select! {
             opened = link::connect(&self.endpoint, vm, address) => opened,
-            () = alive::port_closed(self.own(), address) => {
+            () = liveness::port_closed(self.own(), address) => {
                 Err(error("connect", vm, "no process holds its port"))
             }
         };
@@ -157,7 +157,7 @@
 }
 
 async fn watch(own: IpAddr, vm: String, connection: Connection, peer: Arc<Peer>) {
-    let why = alive::watch(own, connection.clone(), peer.waits.clone()).await;
+    let why = liveness::watch(own, connection.clone(), peer.waits.clone()).await;
     if connection.close_reason() == Some(quinn::ConnectionError::LocallyClosed) {
         peer.lose();
         log::warn!("link: {vm} is lost: {why}");
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -73,7 +73,7 @@
     }
 
     /// An engine of this VM crashed while these ran.
-    pub fn crashed(&self, incarnation: &str, running: Vec<Running>) {
+    pub fn record_crash(&self, incarnation: &str, running: Vec<Running>) {
         let fingerprints = quarantine::fingerprints(&running);
         let second = self.with(|list, now| list.crashed(&fingerprints, now));
         let (refused, suspects): (Vec<_>, Vec<_>) = running
@@ -89,7 +89,7 @@
     }
 
     /// A suspect ran alone without a crash.
-    pub fn cleared(&self, fingerprint: Fingerprint) {
+    pub fn record_cleared(&self, fingerprint: Fingerprint) {
         self.with(|list, _| list.completed(fingerprint));
         let (vm, fingerprints) = (self.vm.clone(), vec![show(fingerprint)]);
         self.tell(Record::Cleared { vm, fingerprints });
@@ -98,24 +98,24 @@
     /// A head says that a request was running at a crash elsewhere. The record of
     /// that crash may come later than the request itself: without this the second
     /// crash would be taken for the first, and a third engine would be lost.
-    pub fn suspected_elsewhere(&self, fingerprint: Fingerprint) {
+    pub fn merge_suspect(&self, fingerprint: Fingerprint) {
         self.with(|list, now| list.merge(&[fingerprint], &[], now));
     }
 
     /// Another process has refused a request for its crashes.
-    pub fn refused_elsewhere(&self, fingerprint: Fingerprint) {
+    pub fn merge_refusal(&self, fingerprint: Fingerprint) {
         self.with(|list, now| list.merge(&[], &[fingerprint], now));
     }
 
     /// Takes over what an agent reports, when the log can't tell.
-    pub fn reported(&self, suspects: &[Fingerprint], refused: &[Fingerprint]) {
+    pub fn merge_report(&self, suspects: &[Fingerprint], refused: &[Fingerprint]) {
         if self.state.lock().expect("no panic while held").out {
             self.with(|list, now| list.merge(suspects, refused, now));
         }
     }
 
     /// Suspects and refused ones, for the report.
-    pub fn lists(&self) -> (Vec<Fingerprint>, Vec<Fingerprint>) {
+    pub fn suspects_and_refused(&self) -> (Vec<Fingerprint>, Vec<Fingerprint>) {
         self.with(|list, now| (list.suspects(now), list.refused(now)))
     }
 
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -46,7 +46,7 @@
 
 /// What is in force.
 #[derive(Debug, Clone)]
-pub struct Force {
+pub struct Snapshot {
     /// Version; 0 when there is none.
     pub version: id::Version,
     /// Text of the settings.
@@ -58,12 +58,12 @@
 }
 
 /// The settings in force, watched.
-pub type Watch = watch::Receiver<Force>;
+pub type Watch = watch::Receiver<Snapshot>;
 
 /// Starts the task that keeps the settings up to date.
 pub fn start(process: &Process, peers: Peers, vms: vms::Watch) -> Watch {
     let state = State::new();
-    let (tx, rx) = watch::channel(force(&state, false));
+    let (tx, rx) = watch::channel(snapshot(&state, false));
     let log = Client::new(&process.platform.log, Duration::from_secs(2));
     let vm = process.vm.clone();
     let (carry_at, look_at) = (carry_at(), look_at());
@@ -87,8 +87,8 @@
     Instant::now() + CARRY_AGE.mul_f64(rand::random_range(1.0..2.0))
 }
 
-fn force(state: &State, caught_up: bool) -> Force {
-    Force {
+fn snapshot(state: &State, caught_up: bool) -> Snapshot {
+    Snapshot {
         version: state.version,
         text: Arc::new(state.text.clone()),
         fleet: Arc::new(state.fleet.clone()),
@@ -102,7 +102,7 @@
     peers: Peers,
     vms: vms::Watch,
     state: State,
-    tx: watch::Sender<Force>,
+    tx: watch::Sender<Snapshot>,
     /// Newest offset up to which the author of a carried record had judged.
     carried: Option<u64>,
     carry_at: Instant,
@@ -224,14 +224,14 @@
     /// The settings of a peer, when they are newer. Its version is asked for first: the
     /// text of a large fleet is long.
     async fn newer(&self, vm: &str, address: &str) -> Result<Option<Settings>, link::Error> {
-        let Tell::Text(status) = self.peers.ask(vm, address, &Ask::Status).await? else {
+        let Tell::Text(status) = self.peers.request(vm, address, &Ask::Status).await? else {
             return Ok(None);
         };
         let status: serde_json::Value = serde_json::from_str(&status).unwrap_or_default();
         if status["version"].as_u64().unwrap_or(0) <= self.state.version {
             return Ok(None);
         }
-        match self.peers.ask(vm, address, &Ask::Settings).await? {
+        match self.peers.request(vm, address, &Ask::Settings).await? {
             Tell::Settings(settings) => Ok(Some(settings)),
             _ => Ok(None),
         }
@@ -245,7 +245,7 @@
                 log::info!("settings: version {new} is in force after {old}, {} ms", now_ms());
             }
             if news {
-                *old = force(&self.state, caught_up);
+                *old = snapshot(&self.state, caught_up);
             }
             news
         });
--- a/crates/node/src/stop.rs
+++ b/crates/node/src/stop.rs
@@ -79,7 +79,7 @@
 
 /// A piece of work, in progress until this is dropped.
 #[derive(Debug)]
-pub struct Piece {
+pub struct WorkGuard {
     count: Arc<AtomicUsize>,
 }
 
@@ -93,9 +93,9 @@
     /// drop(piece);
     /// assert_eq!(work.running(), 0);
     /// ```
-    pub fn begin(&self) -> Piece {
+    pub fn begin(&self) -> WorkGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
-        Piece { count: self.count.clone() }
+        WorkGuard { count: self.count.clone() }
     }
 
     /// Pieces in progress.
@@ -104,7 +104,7 @@
     }
 }
 
-impl Drop for Piece {
+impl Drop for WorkGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/node/src/trace.rs
+++ b/crates/node/src/trace.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// Events kept; the oldest go first. About 200 bytes each.
-pub const KEPT: usize = 20_000;
+pub const MAX_EVENTS: usize = 20_000;
 
 /// One event of a request.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -45,7 +45,7 @@
             text: text.into(),
         };
         let mut events = self.events.lock().expect("no panic while held");
-        if events.len() == KEPT {
+        if events.len() == MAX_EVENTS {
             events.pop_front();
         }
         events.push_back(event);
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -9,11 +9,11 @@
 use tokio::time::Instant;
 
 /// Pause between readings: a leaving VM is seen within this and the list's own lag.
-pub const PAUSE: Duration = Duration::from_millis(500);
+pub const READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a VM that is missing from the list still counts as leaving. Longer than
 /// the usual time to drain, so that the connections to it stay until its work is done.
-pub const GRACE: Duration = Duration::from_secs(60);
+pub const MISSING_VM_GRACE: Duration = Duration::from_secs(60);
 
 /// The list as last read.
 pub type Watch = watch::Receiver<Arc<Vec<Entry>>>;
@@ -32,22 +32,22 @@
 /// every connection closed while all backend servers run. The missing ones are kept
 /// as they were; those that are gone indeed can't be reached and get no work.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct Inventory {
     /// Sorted by VM.
     held: Vec<Held>,
     doubted: bool,
 }
 
-impl Known {
+impl Inventory {
     /// Takes over a list, in order of name, as read at `now`.
     ///
     /// ```
     /// use tokio::time::Instant;
-    /// let mut known = node::vms::Known::default();
-    /// known.read(&[], Instant::now());
-    /// assert!(known.entries().is_empty());
+    /// let mut inventory = node::vms::Inventory::default();
+    /// inventory.update(&[], Instant::now());
+    /// assert!(inventory.entries().is_empty());
     /// ```
-    pub fn read(&mut self, list: &[Entry], now: Instant) {
+    pub fn update(&mut self, list: &[Entry], now: Instant) {
         let find = |vm: &str| {
             let at = list.binary_search_by(|e| e.vm.as_str().cmp(vm));
             at.ok().map(|i| &list[i])
@@ -65,7 +65,7 @@
                 None => {}
             }
         }
-        self.held.retain(|h| h.gone.is_none_or(|gone| now < gone + GRACE));
+        self.held.retain(|h| h.gone.is_none_or(|gone| now < gone + MISSING_VM_GRACE));
         for entry in list {
             if let Err(i) = self.held.binary_search_by(|h| h.entry.vm.cmp(&entry.vm)) {
                 self.held.insert(i, Held { entry: entry.clone(), gone: None });
@@ -99,15 +99,15 @@
 async fn run(client: Client, tx: watch::Sender<Arc<Vec<Entry>>>) {
     let mut failing = false;
     let mut list = cloud::vm::List { entries: Vec::new(), tag: String::new() };
-    let mut known = Known::default();
+    let mut inventory = Inventory::default();
     while !tx.is_closed() {
         match client.changed(&list.tag).await {
             Ok(news) => {
                 failing = false;
                 list = news.unwrap_or(list);
                 // Also without news: the time of a missing VM runs out.
-                known.read(&list.entries, Instant::now());
-                show(&tx, known.entries());
+                inventory.update(&list.entries, Instant::now());
+                show(&tx, inventory.entries());
             }
             Err(e) if !failing => {
                 failing = true;
@@ -115,7 +115,7 @@
             }
             Err(_) => {}
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(READ_INTERVAL).await;
     }
 }
 
--- a/crates/node/tests/vms.rs
+++ b/crates/node/tests/vms.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cloud::vm::{Entry, Role, State};
-use node::vms::{GRACE, Known};
+use node::vms::{Inventory, MISSING_VM_GRACE};
 use rstest::rstest;
 use tokio::time::Instant;
 
@@ -49,25 +49,25 @@
 #[case::flapping(Case { read: &["a b", "a- b", "a b", "a- b"], counts: "a- b" })]
 #[case::missing_and_back(Case { read: &["a b c", "a b", "a b c"], counts: "a b c" })]
 fn a_list_is_taken_with_care(#[case] case: Case) {
-    let mut known = Known::default();
+    let mut inventory = Inventory::default();
     let mut now = Instant::now();
     for text in case.read {
-        known.read(&list(text), now);
+        inventory.update(&list(text), now);
         now += Duration::from_secs(1);
     }
-    assert_eq!(short(&known.entries()), case.counts);
+    assert_eq!(short(&inventory.entries()), case.counts);
 }
 
 /// A VM is taken out of the list for good. Without an end it would be asked for reports
 /// as long as the daemon lives, and replaced VMs would pile up.
 #[test]
 fn a_missing_vm_is_forgotten_after_its_time() {
-    let mut known = Known::default();
+    let mut inventory = Inventory::default();
     let now = Instant::now();
-    known.read(&list("a b c"), now);
-    known.read(&list("a c"), now);
-    known.read(&list("a c"), now + GRACE - Duration::from_secs(1));
-    assert_eq!(short(&known.entries()), "a b- c");
-    known.read(&list("a c"), now + GRACE);
-    assert_eq!(short(&known.entries()), "a c");
+    inventory.update(&list("a b c"), now);
+    inventory.update(&list("a c"), now);
+    inventory.update(&list("a c"), now + MISSING_VM_GRACE - Duration::from_secs(1));
+    assert_eq!(short(&inventory.entries()), "a b- c");
+    inventory.update(&list("a c"), now + MISSING_VM_GRACE);
+    assert_eq!(short(&inventory.entries()), "a c");
 }
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -101,7 +101,8 @@
         };
         let cancel = Cancel { request: request.clone(), workspace: workspace.name.clone() };
         let ask = wire::frame::Ask::Cancel(cancel);
-        let asked = router.node.peers.ask::<_, wire::frame::Tell>(&head.vm, &head.address, &ask);
+        let asked =
+            router.node.peers.request::<_, wire::frame::Tell>(&head.vm, &head.address, &ask);
         match asked.await {
             Ok(_) => {
                 res.status_code(StatusCode::NO_CONTENT);
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -224,7 +224,7 @@
     /// Opens a stream to the head and reads whether it accepts.
     async fn ask(&mut self, ask: &Ask) -> Result<Stream, Refusal> {
         let (vm, address) = (self.head.vm.clone(), self.head.address.clone());
-        let _wait = self.router.node.peers.wait(&vm, &address);
+        let _wait = self.router.node.peers.register_wait(&vm, &address);
         let connection = self.router.node.peers.connection(&vm, &address).await;
         let connection = connection
             .map_err(|e| Refusal::not_run(Cause::Unavailable, "offer", &vm, e.to_string()))?;
@@ -257,7 +257,7 @@
 
     /// Passes tokens on until the draft ends, the caller goes or the head is lost.
     async fn follow(&mut self, mut stream: Stream) -> End {
-        let _wait = self.router.node.peers.wait(&self.head.vm, &self.head.address);
+        let _wait = self.router.node.peers.register_wait(&self.head.vm, &self.head.address);
         loop {
             let tell = tokio::select! {
                 tell = stream.expect::<Tell>() => tell,
@@ -279,7 +279,7 @@
                     }
                 }
                 Ok(Tell::Done(done)) => {
-                    self.router.node.metrics.ended("draft", "answered");
+                    self.router.node.metrics.count_request("draft", "answered");
                     let _ = self.events.send(Event::Done(done)).await;
                     return End::Done;
                 }
@@ -304,7 +304,7 @@
             let until = Instant::now() + ABANDONED;
             while Instant::now() < until {
                 tokio::time::sleep(CANCEL_PAUSE).await;
-                let asked = router.node.peers.ask::<_, Tell>(&head.vm, &head.address, &ask);
+                let asked = router.node.peers.request::<_, Tell>(&head.vm, &head.address, &ask);
                 if tokio::time::timeout(CANCEL_PAUSE, asked).await.is_ok_and(|r| r.is_ok()) {
                     return;
                 }
@@ -324,7 +324,7 @@
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
         let ask = Ask::Cancel(Cancel { request, workspace });
         let peers = &self.router.node.peers;
-        if let Err(e) = peers.ask::<_, Tell>(&self.head.vm, &self.head.address, &ask).await {
+        if let Err(e) = peers.request::<_, Tell>(&self.head.vm, &self.head.address, &ask).await {
             log::debug!("head: a cancelled draft could not be stopped: {e}");
         }
     }
@@ -333,13 +333,13 @@
     /// did not answer, may have run in part.
     async fn refuse(&self, mut refusal: Refusal) {
         if refusal.cause == Cause::Quarantined {
-            self.fingerprint.iter().for_each(|f| self.router.node.quarantine.refused_elsewhere(*f));
+            self.fingerprint.iter().for_each(|f| self.router.node.quarantine.merge_refusal(*f));
         }
         if (self.accepted || self.doubted) && refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::Unknown;
         }
         self.router.node.trace.add(&self.request, "refuse", refusal.to_string());
-        self.router.node.metrics.ended("draft", &refusal.outcome.to_string());
+        self.router.node.metrics.count_request("draft", &refusal.outcome.to_string());
         let _ = self.events.send(Event::Refused(self.request.clone(), refusal)).await;
     }
 }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -47,7 +47,7 @@
                 let outcome = done
                     .as_ref()
                     .map_or_else(|refusal| refusal.outcome.to_string(), |_| "answered".into());
-                router.node.metrics.ended("call", &outcome);
+                router.node.metrics.count_request("call", &outcome);
                 match done {
                     Ok(reply) => render(res, reply, &request),
                     Err(refusal) => problem::render(res, &refusal, &request),
@@ -221,7 +221,7 @@
     let lost = |why: String| Refusal::unknown(Cause::Lost, LINK, vm, why);
     // Without signs of life a call to an agent that has died would wait for its whole
     // deadline, though another agent could settle it at once.
-    let _wait = peers.wait(vm, address);
+    let _wait = peers.register_wait(vm, address);
     let asked = async {
         let ask = Ask::Call(Call { deadline: left, ..call.clone() });
         let mut stream = wire::link::open(&connection, vm, &ask).await?;
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -315,7 +315,7 @@
         for pool in &self.pools {
             let ejected =
                 |vm: &&Vm| matches!(pool.table.state(vm, now), Some(State::Ejected { .. }));
-            self.node.metrics.gauges(&Gauges {
+            self.node.metrics.record_gauges(&Gauges {
                 target: pool.name(),
                 waiting: (pool.queue.waiting() + pool.recovering.len()) as u64,
                 running: pool.queue.running().into(),
@@ -389,7 +389,7 @@
     }
 
     fn count(&self, refusal: &Refusal) {
-        self.node.metrics.refused(&refusal.cause.to_string());
+        self.node.metrics.count_refusal(&refusal.cause.to_string());
     }
 }
 
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -179,7 +179,7 @@
                     .borrow()
                     .iter()
                     .any(|e| e.vm == report.vm && e.state == vm::State::Leaving);
-                node.quarantine.reported(&report.suspects, &report.quarantined);
+                node.quarantine.merge_report(&report.suspects, &report.quarantined);
                 view.reported(*report, listed);
             }
             Ok(Ok(_)) => return "unexpected frame".into(),
