--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -1,9 +1,9 @@
-//! What is let in, what waits and where it goes: the handles of the task in
-//! `task` that drives the `policy` crate.
+//! Admission of requests: the handles by which the rest of the router uses the task in `task`,
+//! which admits, queues and places requests by the `policy` crate.
 //!
-//! Handlers and the view of the agents talk to the task by messages only. The
-//! channel is not bounded by itself: each caller has at most one message in it and
-//! each agent its reports, so its length follows theirs.
+//! Handlers and the view of the agents communicate with the task by messages only. The channel
+//! is unbounded, but its length is limited by the number of callers and agents: each caller has
+//! at most one message in it, and each agent its reports.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -21,198 +21,198 @@
 use wire::id;
 use wire::refusal::{Cause, Outcome, Refusal};
 
-/// Answers that may wait for one request: that it waits, and that it may start.
-const ANSWERS: usize = 4;
+/// Capacity of a request's channel of answers: it may be queued and then started.
+const MAX_QUEUED_ANSWERS: usize = 4;
 
-/// Step name of refusals by the queue.
+/// Step name of refusals that the queue makes.
 pub const STEP: &str = "queue";
 
-/// Whose capacity a request needs.
+/// The model or service whose capacity a request needs.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Target {
     /// A model.
     Model(String),
-    /// A plain service.
+    /// A plain service (not a model).
     Service(String),
 }
 
-/// What a request asks for.
+/// What a request requires: the basis on which the task admits and places it.
 #[derive(Debug, Clone)]
-pub struct Want {
-    /// Whose capacity.
+pub struct Requirements {
+    /// Model or service that it needs.
     pub target: Target,
-    /// Whose request it is.
+    /// Workspace of the caller.
     pub workspace: id::Workspace,
-    /// Its priority, 0 to 9.
+    /// Priority, 0 to 9.
     pub priority: u8,
-    /// Its tokens; 1 and 1 for a call.
+    /// Its tokens; 1 and 1 for a call of a service.
     pub cost: Cost,
-    /// When the caller no longer waits.
-    pub until: Instant,
-    /// Hash of what it begins with, or of its key.
+    /// When the caller stops waiting.
+    pub deadline: Instant,
+    /// Hash of the start of its prompt, or of its key.
     pub prefix: Option<Prefix>,
-    /// True when the prefix is a key, whose agent comes first whatever its load.
+    /// True if the prefix is a key: the key's agent is preferred whatever its load.
     pub keyed: bool,
 }
 
-/// A request in the task's hands.
+/// A request held by the task.
 #[derive(Debug)]
-pub(crate) struct Wait {
-    pub(crate) want: Want,
-    /// Tries made.
+pub(crate) struct Pending {
+    pub(crate) requirements: Requirements,
+    /// Number of tries made.
     pub(crate) tries: u32,
-    /// VMs that failed it.
+    /// VMs that failed a try of it.
     pub(crate) avoid: Vec<Vm>,
     pub(crate) reply: mpsc::Sender<Answer>,
 }
 
-/// Under which right a request runs.
+/// A pending or running request, by how it was admitted.
 #[derive(Debug)]
-pub(crate) enum Slip {
-    /// Let in by the queue.
-    Queued(Box<Entry<Wait>>),
-    /// In progress and without a head now: it goes before all that waits.
-    Recovery(Box<Wait>),
+pub(crate) enum Job {
+    /// Admitted by the queue.
+    Queued(Box<Entry<Pending>>),
+    /// In progress, but its head is lost: it precedes all requests in the queue.
+    Recovery(Box<Pending>),
 }
 
-impl Slip {
-    pub(crate) fn wait(&self) -> &Wait {
+impl Job {
+    pub(crate) fn pending(&self) -> &Pending {
         match self {
-            Slip::Queued(entry) => &entry.item,
-            Slip::Recovery(wait) => wait,
+            Job::Queued(entry) => &entry.item,
+            Job::Recovery(pending) => pending,
         }
     }
 
-    pub(crate) fn wait_mut(&mut self) -> &mut Wait {
+    pub(crate) fn pending_mut(&mut self) -> &mut Pending {
         match self {
-            Slip::Queued(entry) => &mut entry.item,
-            Slip::Recovery(wait) => wait,
+            Job::Queued(entry) => &mut entry.item,
+            Job::Recovery(pending) => pending,
         }
     }
 }
 
-/// What the task tells a request.
+/// What the task sends to the handler of a request.
 #[derive(Debug)]
 pub(crate) enum Answer {
-    /// It waits under this name.
+    /// It is queued under this ticket.
     Waiting(Ticket),
     /// It may start.
-    Start(Started),
-    /// It is not let in, or can't make its deadline any more.
+    Start(RunGuard),
+    /// It is not admitted, or can no longer meet its deadline.
     Refused(Refusal),
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Ended {
-    /// Well.
-    Well,
-    /// By the fault of a VM.
+pub(crate) enum EndReason {
+    /// It succeeded.
+    Succeeded,
+    /// A VM failed it.
     Fault(Vm),
-    /// For a reason that says nothing of the VMs.
+    /// It ended for a reason that says nothing about the VMs.
     Other,
 }
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 pub(crate) enum Message {
     /// A new request.
-    Ask(Wait),
-    /// A request in progress has lost its head.
-    Recover(Wait),
-    /// The caller of a waiting request has gone.
+    New(Pending),
+    /// The head of a request in progress is lost.
+    Recover(Pending),
+    /// The caller of a queued request has disconnected.
     Cancel(Target, id::Workspace, Ticket),
     /// A request has ended.
-    End { slip: Slip, chain: Chain, held: Duration, ended: Ended },
-    /// A try was not run, or may run again.
-    Again { slip: Slip, chain: Chain, refusal: Refusal, outcome: retry::Outcome },
-    /// A head looks for replicas of a range.
+    End { job: Job, chain: Chain, run_time: Duration, reason: EndReason },
+    /// A try failed, and the request may be retried.
+    Retry { job: Job, chain: Chain, refusal: Refusal, outcome: retry::Outcome },
+    /// A head needs replicas of a range.
     Replicas(Stage, oneshot::Sender<Vec<Vm>>),
-    /// An agent reports.
+    /// An agent has sent a report.
     Report { data_centre: String, report: Box<Report> },
     /// An agent can't be reached.
     Down(Vm),
-    /// An agent is no longer listed.
+    /// An agent is no longer in the VM list.
     Unlisted(Vm),
 }
 
-/// A request that may run, until this is dropped.
+/// Holds the slots of a running request, and releases them when it is dropped.
 #[derive(Debug)]
-pub(crate) struct Started {
-    slip: Option<Slip>,
+pub(crate) struct RunGuard {
+    job: Option<Job>,
     chain: Chain,
-    begun: Instant,
+    started_at: Instant,
     tx: mpsc::UnboundedSender<Message>,
 }
 
-impl Started {
-    pub(crate) fn new(slip: Slip, chain: Chain, tx: mpsc::UnboundedSender<Message>) -> Started {
-        Started { slip: Some(slip), chain, begun: Instant::now(), tx }
+impl RunGuard {
+    pub(crate) fn new(job: Job, chain: Chain, tx: mpsc::UnboundedSender<Message>) -> RunGuard {
+        RunGuard { job: Some(job), chain, started_at: Instant::now(), tx }
     }
 
-    fn end(&mut self, ended: Ended) {
-        if let Some(slip) = self.slip.take() {
-            let (chain, held) = (std::mem::take(&mut self.chain), self.begun.elapsed());
-            let _ = self.tx.send(Message::End { slip, chain, held, ended });
+    fn end(&mut self, reason: EndReason) {
+        if let Some(job) = self.job.take() {
+            let (chain, run_time) = (std::mem::take(&mut self.chain), self.started_at.elapsed());
+            let _ = self.tx.send(Message::End { job, chain, run_time, reason });
         }
     }
 }
 
-// Without this a caller that goes at the wrong moment would keep its slots in the
-// router's books for ever, and the router would use less and less of the fleet.
-impl Drop for Started {
+// Without this a caller that disconnects just as its request is started would hold its slots in
+// the router's counts for ever, and the router would use less and less of the fleet.
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.end(Ended::Other);
+        self.end(EndReason::Other);
     }
 }
 
-/// The right to run on a chain of VMs. Dropped, it counts as ended without fault.
+/// The permission to run on a chain of VMs. If it is dropped, the request ends without a fault.
 #[derive(Debug)]
 pub struct Grant {
-    started: Started,
+    started: RunGuard,
     answers: mpsc::Receiver<Answer>,
 }
 
 impl Grant {
-    /// VMs for each range, best first; one list for a service.
+    /// VMs for each range, best first; a single list for a service.
     pub fn chain(&self) -> &Chain {
         &self.started.chain
     }
 
-    /// The request has ended well.
+    /// Ends the request as succeeded.
     pub fn succeeded(mut self) {
-        self.started.end(Ended::Well);
+        self.started.end(EndReason::Succeeded);
     }
 
-    /// The request was lost by the fault of a VM.
+    /// Ends the request as failed by a VM.
     pub fn failed(mut self, vm: &str) {
-        self.started.end(Ended::Fault(vm.to_string()));
+        self.started.end(EndReason::Fault(vm.to_string()));
     }
 
-    /// Another chance after a refusal, under the retry budget and before the deadline.
-    /// `outcome` says what is certain about the failed try.
-    pub async fn again(
+    /// Retries the request after a refusal, if retry budget and deadline allow. `outcome` says
+    /// whether the failed try may have run.
+    pub async fn retry(
         mut self,
         refusal: Refusal,
         outcome: retry::Outcome,
     ) -> Result<Grant, Refusal> {
-        let Some(slip) = self.started.slip.take() else { return Err(refusal) };
-        let target = slip.wait().want.target.clone();
-        let workspace = slip.wait().want.workspace.clone();
-        let ticket = match &slip {
-            Slip::Queued(entry) => Some(entry.ticket),
-            Slip::Recovery(_) => None,
+        let Some(job) = self.started.job.take() else { return Err(refusal) };
+        let target = job.pending().requirements.target.clone();
+        let workspace = job.pending().requirements.workspace.clone();
+        let ticket = match &job {
+            Job::Queued(entry) => Some(entry.ticket),
+            Job::Recovery(_) => None,
         };
         let tx = self.started.tx.clone();
         let chain = std::mem::take(&mut self.started.chain);
         let answers = std::mem::replace(&mut self.answers, mpsc::channel(1).1);
-        let _ = tx.send(Message::Again { slip, chain, refusal, outcome });
-        Turn { target, workspace, ticket, tx, answers: Some(answers) }.wait().await
+        let _ = tx.send(Message::Retry { job, chain, refusal, outcome });
+        Waiter { target, workspace, ticket, tx, answers: Some(answers) }.wait().await
     }
 }
 
-/// A request that waits for its turn; dropped, it is taken out of the queue.
-struct Turn {
+/// Waits for the task's answer. If it is dropped, the request is removed from the queue.
+struct Waiter {
     target: Target,
     workspace: id::Workspace,
     ticket: Option<Ticket>,
@@ -220,7 +220,7 @@
     answers: Option<mpsc::Receiver<Answer>>,
 }
 
-impl Turn {
+impl Waiter {
     async fn wait(mut self) -> Result<Grant, Refusal> {
         loop {
             let answer = match &mut self.answers {
@@ -246,7 +246,7 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for Waiter {
     fn drop(&mut self) {
         if let (Some(_), Some(ticket)) = (&self.answers, self.ticket) {
             let (target, workspace) = (self.target.clone(), self.workspace.clone());
@@ -268,39 +268,43 @@
         (Admission { tx, running: Arc::default() }, rx)
     }
 
-    /// Waits for the turn of a new request, or says at once that it is not let in.
-    pub async fn ask(&self, want: Want) -> Result<Grant, Refusal> {
-        self.turn(want, Message::Ask).await
+    /// Waits until a new request may start; returns at once if it is not admitted.
+    pub async fn admit(&self, requirements: Requirements) -> Result<Grant, Refusal> {
+        self.enqueue(requirements, Message::New).await
     }
 
-    /// Waits for a chain for a request that was accepted and has lost its head. It is
-    /// looked after until its deadline.
-    pub async fn recover(&self, want: Want) -> Result<Grant, Refusal> {
-        self.turn(want, Message::Recover).await
+    /// Waits for a chain for a request that was accepted and whose head is lost. It is retried
+    /// until its deadline.
+    pub async fn recover(&self, requirements: Requirements) -> Result<Grant, Refusal> {
+        self.enqueue(requirements, Message::Recover).await
     }
 
-    async fn turn(&self, want: Want, message: fn(Wait) -> Message) -> Result<Grant, Refusal> {
-        let (reply, answers) = mpsc::channel(ANSWERS);
-        let (target, workspace) = (want.target.clone(), want.workspace.clone());
-        let wait = Wait { want, tries: 0, avoid: Vec::new(), reply };
-        let _ = self.tx.send(message(wait));
+    async fn enqueue(
+        &self,
+        requirements: Requirements,
+        message: fn(Pending) -> Message,
+    ) -> Result<Grant, Refusal> {
+        let (reply, answers) = mpsc::channel(MAX_QUEUED_ANSWERS);
+        let (target, workspace) = (requirements.target.clone(), requirements.workspace.clone());
+        let pending = Pending { requirements, tries: 0, avoid: Vec::new(), reply };
+        let _ = self.tx.send(message(pending));
         let tx = self.tx.clone();
-        Turn { target, workspace, ticket: None, tx, answers: Some(answers) }.wait().await
+        Waiter { target, workspace, ticket: None, tx, answers: Some(answers) }.wait().await
     }
 
-    /// Replicas of a range that a draft may go on with after a loss, best first.
+    /// Replicas of a range with which a draft can continue after a loss, best first.
     pub async fn replicas(&self, stage: Stage) -> Vec<Vm> {
         let (reply, answer) = oneshot::channel();
         let _ = self.tx.send(Message::Replicas(stage, reply));
         answer.await.unwrap_or_default()
     }
 
-    /// Requests of this router in progress.
+    /// Number of this router's requests in progress.
     pub fn running(&self) -> u32 {
         self.running.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn tell(&self, message: Message) {
+    pub(crate) fn send(&self, message: Message) {
         let _ = self.tx.send(message);
     }
 
@@ -308,12 +312,12 @@
         self.tx.clone()
     }
 
-    pub(crate) fn note_running(&self, running: u32) {
+    pub(crate) fn set_running(&self, running: u32) {
         self.running.store(running, Ordering::Relaxed);
     }
 }
 
-/// A refusal of the queue in the words of the links.
+/// Converts a refusal of the queue to one of the link protocol.
 pub(crate) fn refusal(vm: &str, refused: policy::refusal::Refusal) -> Refusal {
     use policy::refusal::Reason;
     let cause = match refused.reason {
@@ -328,9 +332,9 @@
     }
 }
 
-/// What is certain about a try that ended with this refusal, for a request that may
-/// be run again.
-pub fn certain(refusal: &Refusal) -> retry::Outcome {
+/// Whether a try that ended with this refusal may have run, for a request that may run more than
+/// once.
+pub fn retry_outcome(refusal: &Refusal) -> retry::Outcome {
     match refusal.outcome {
         Outcome::NotRun => retry::Outcome::NotRun,
         _ => retry::Outcome::Idempotent,
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -1,4 +1,4 @@
-//! Drafts over HTTP, in the widely used completions shape.
+//! Drafts over HTTP, in the widely used format of completions.
 
 use std::sync::Arc;
 
@@ -14,18 +14,18 @@
 use wire::id;
 use wire::refusal::{Cause, Refusal};
 
-use crate::draft::{Event, Wanted};
+use crate::draft::{Event, Spec};
 use crate::head;
 use crate::{Router, caller, drain, problem};
 
-/// Events that may wait for a caller that reads slowly. Its draft goes on at the
-/// head; only this many tokens are held here.
-const WAITING: usize = 64;
+/// Capacity of a caller's queue of events. If the caller reads slowly, its draft continues at the
+/// head, and the router holds only this many tokens.
+const MAX_QUEUED_EVENTS: usize = 64;
 
-/// Tokens generated where the caller names no limit.
-const DEFAULT_TOKENS: u32 = 16;
+/// Number of tokens generated if the caller gives no limit.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-/// Body of a request.
+/// JSON body of a request.
 #[derive(Debug, Deserialize)]
 struct Body {
     model: String,
@@ -38,10 +38,10 @@
 /// `POST /v1/completions`.
 pub struct Post(pub Arc<Router>);
 
-/// `GET /v1/completions/{id}`: goes on after the caller's last token.
+/// `GET /v1/completions/{id}`: continues after the last token that the caller has.
 pub struct Get(pub Arc<Router>);
 
-/// `DELETE /v1/completions/{id}`: gives a draft up.
+/// `DELETE /v1/completions/{id}`: cancels a draft.
 pub struct Delete(pub Arc<Router>);
 
 /// `GET /v1/models`.
@@ -55,11 +55,11 @@
             Ok(received) => received,
             Err((status, refusal)) => return problem::render_as(res, status, &refusal, ""),
         };
-        match wanted(router, &caller.fleet, &caller.workspace, req, &body) {
-            Ok((wanted, stream)) => {
-                let (tx, rx) = mpsc::channel(WAITING);
-                tokio::spawn(head::run(router.clone(), wanted.clone(), tx));
-                answer(router, res, rx, &wanted.model.name, stream).await;
+        match parse(router, &caller.fleet, &caller.workspace, req, &body) {
+            Ok((spec, stream)) => {
+                let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
+                tokio::spawn(head::run(router.clone(), spec.clone(), tx));
+                respond(router, res, rx, &spec.model.name, stream).await;
             }
             Err(refusal) => problem::render(res, &refusal, ""),
         }
@@ -76,13 +76,13 @@
             Err((status, refusal)) => return problem::render_as(res, status, &refusal, ""),
         };
         let (request, after) = resume_point(req);
-        let Some(head) = place(router, &request) else {
-            return problem::render(res, &gone(vm), &request);
+        let Some(head) = locate_head(router, &request) else {
+            return problem::render(res, &not_found(vm), &request);
         };
         let attach = Attach { request, workspace: workspace.name.clone(), after };
-        let (tx, rx) = mpsc::channel(WAITING);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
         tokio::spawn(head::attach(router.clone(), attach, head, tx));
-        answer(router, res, rx, "", true).await;
+        respond(router, res, rx, "", true).await;
     }
 }
 
@@ -96,14 +96,14 @@
             Err((status, refusal)) => return problem::render_as(res, status, &refusal, ""),
         };
         let request: id::Request = req.param("id").unwrap_or_default();
-        let Some(head) = place(router, &request) else {
-            return problem::render(res, &gone(vm), &request);
+        let Some(head) = locate_head(router, &request) else {
+            return problem::render(res, &not_found(vm), &request);
         };
         let cancel = Cancel { request: request.clone(), workspace: workspace.name.clone() };
         let ask = wire::frame::Ask::Cancel(cancel);
-        let asked =
+        let answer =
             router.node.peers.request::<_, wire::frame::Tell>(&head.vm, &head.address, &ask);
-        match asked.await {
+        match answer.await {
             Ok(_) => {
                 res.status_code(StatusCode::NO_CONTENT);
             }
@@ -128,13 +128,13 @@
     }
 }
 
-fn wanted(
+fn parse(
     router: &Router,
     fleet: &Fleet,
     workspace: &Workspace,
     req: &Request,
     body: &[u8],
-) -> Result<(Wanted, bool), Refusal> {
+) -> Result<(Spec, bool), Refusal> {
     let vm = &router.node.process.vm;
     let bad = |why: String| Refusal::refused(Cause::Bad, "parse", vm, why);
     let body: Body =
@@ -143,14 +143,14 @@
         let why = format!("there is no model '{}'", body.model);
         return Err(Refusal::refused(Cause::NotFound, "parse", vm, why));
     };
-    let max_tokens = body.max_tokens.unwrap_or(DEFAULT_TOKENS.min(workspace.max_tokens));
+    let max_tokens = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS.min(workspace.max_tokens));
     if max_tokens == 0 || max_tokens > workspace.max_tokens {
         let why = format!("max_tokens has to be 1 to {}, not {max_tokens}", workspace.max_tokens);
         return Err(bad(why));
     }
     let deadline = caller::deadline(fleet, workspace, req, vm)?;
     let content = format!("{}\n{}", body.model, body.prompt);
-    let wanted = Wanted {
+    let spec = Spec {
         unique: uuid::Uuid::now_v7().simple().to_string(),
         workspace: workspace.name.clone(),
         model: model.clone(),
@@ -158,14 +158,14 @@
         max_tokens,
         priority: workspace.priority,
         fingerprint: xxhash_rust::xxh3::xxh3_64(content.as_bytes()),
-        until: Instant::now() + deadline,
+        deadline: Instant::now() + deadline,
     };
-    Ok((wanted, body.stream))
+    Ok((spec, body.stream))
 }
 
-/// The request and the tokens the caller has: `Last-Event-ID: REQUEST:N`, or the
-/// path and `?after=N`. The header's request is the newer one when the draft has
-/// moved to another head.
+/// The request and the number of tokens that the caller has: from `Last-Event-ID: REQUEST:N`, or
+/// from the path and `?after=N`. If the draft has moved to another head, the header has the newer
+/// request id.
 fn resume_point(req: &Request) -> (id::Request, u32) {
     let header = req.headers().get("last-event-id").and_then(|v| v.to_str().ok());
     match header.and_then(|h| h.rsplit_once(':')) {
@@ -174,8 +174,8 @@
     }
 }
 
-/// Where the head named in a request id is, when the same process still runs there.
-fn place(router: &Router, request: &str) -> Option<Place> {
+/// The place of the head named in a request id, if the same process still runs there.
+fn locate_head(router: &Router, request: &str) -> Option<Place> {
     let mut parts = request.splitn(3, '.');
     let (vm, incarnation) = (parts.next()?, parts.next()?.parse::<id::Incarnation>().ok()?);
     let agent = router.view.find(vm)?;
@@ -183,20 +183,20 @@
     same.then_some(agent.place)
 }
 
-fn gone(vm: &str) -> Refusal {
+fn not_found(vm: &str) -> Refusal {
     let why = "no such request is running or has ended lately; a draft may be sent again";
     Refusal::refused(Cause::NotFound, "attach", vm, why)
 }
 
-/// Answers as a stream of events or as one JSON body.
-async fn answer(
+/// Responds with a stream of events or one JSON body.
+async fn respond(
     router: &Arc<Router>,
     res: &mut Response,
     mut events: mpsc::Receiver<Event>,
     model: &str,
     stream: bool,
 ) {
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let first = events.recv().await;
     let (request, prompt_tokens) = match first {
         Some(Event::Accepted(request, prompt_tokens)) => (request, prompt_tokens),
@@ -218,42 +218,46 @@
             let sender = res.channel();
             let (router, model) = (router.clone(), model.to_string());
             tokio::spawn(async move {
-                send_events(&router, sender, events, &request, &model, begun).await;
+                send_events(&router, sender, events, &request, &model, started_at).await;
             });
         }
-        false => whole(router, res, events, (&request, prompt_tokens), model).await,
+        false => respond_whole(router, res, events, (&request, prompt_tokens), model).await,
     }
 }
 
-/// The next event; once the time to drain has passed, the refusal that sends the
-/// caller to another router. The draft goes on at its head meanwhile.
-async fn next(router: &Router, events: &mut mpsc::Receiver<Event>, request: &str) -> Option<Event> {
+/// The next event; once the time to drain has passed, the refusal that sends the caller to another
+/// router, while the draft continues at its head.
+async fn next_event(
+    router: &Router,
+    events: &mut mpsc::Receiver<Event>,
+    request: &str,
+) -> Option<Event> {
     tokio::select! {
         biased;
         event = events.recv() => event,
-        () = router.ending.wait() => {
+        () = router.drain_expired.wait() => {
             Some(Event::Refused(request.to_string(), drain::unfinished(router)))
         }
     }
 }
 
-async fn whole(
+async fn respond_whole(
     router: &Router,
     res: &mut Response,
     mut events: mpsc::Receiver<Event>,
     (request, prompt_tokens): (&str, u32),
     model: &str,
 ) {
-    let mut words = Vec::new();
-    while let Some(event) = next(router, &mut events, request).await {
+    let mut tokens = Vec::new();
+    while let Some(event) = next_event(router, &mut events, request).await {
         match event {
-            Event::Token(_, token) => words.push(token.word),
+            Event::Token(_, token) => tokens.push(token.word),
             Event::Done(_) => {
-                let ended = words.last().is_some_and(|w| w.end);
-                let text: String = words.iter().map(|w| w.text.as_str()).collect();
-                let ids: Vec<u64> = words.iter().map(|w| w.id).collect();
+                let stopped = tokens.last().is_some_and(|w| w.end);
+                let text: String = tokens.iter().map(|w| w.text.as_str()).collect();
+                let ids: Vec<u64> = tokens.iter().map(|w| w.id).collect();
                 router.node.metrics.tokens.add(ids.len() as u64, &[]);
-                let finish = if ended { "stop" } else { "length" };
+                let finish = if stopped { "stop" } else { "length" };
                 return res.render(Json(json!({
                     "id": request,
                     "object": "text_completion",
@@ -283,11 +287,11 @@
     mut events: mpsc::Receiver<Event>,
     request: &str,
     model: &str,
-    begun: Instant,
+    started_at: Instant,
 ) {
-    let mut last = begun;
-    let mut held: Option<(id::Request, Token)> = None;
-    while let Some(event) = next(router, &mut events, request).await {
+    let mut last = started_at;
+    let mut final_token: Option<(id::Request, Token)> = None;
+    while let Some(event) = next_event(router, &mut events, request).await {
         let text = match event {
             Event::Token(at, token) => {
                 router.node.metrics.tokens.add(1, &[]);
@@ -298,17 +302,17 @@
                     _ => router.node.metrics.between_tokens.record(time, &[]),
                 }
                 last = now;
-                // The last token carries the reason of the end, so a token is
-                // held back only when it ends the text by itself.
+                // The chunk of the last token has the finish reason, so a token that ends the text
+                // is held back until the draft is done.
                 match token.word.end {
                     true => {
-                        held = Some((at, token));
+                        final_token = Some((at, token));
                         continue;
                     }
                     false => chunk(request, model, &at, &token, None),
                 }
             }
-            Event::Done(done) => end(request, model, held.take(), &done),
+            Event::Done(done) => end(request, model, final_token.take(), &done),
             Event::Refused(at, refusal) => {
                 let body = problem::body(&refusal, &at);
                 let text = format!("event: error\ndata: {body}\n\n");
@@ -317,7 +321,7 @@
             }
             Event::Accepted(..) => continue,
         };
-        // The caller has gone: dropping the events gives the draft up.
+        // The caller has disconnected: dropping the receiver of events cancels the draft.
         if sender.send_data(text).await.is_err() {
             return;
         }
@@ -339,8 +343,13 @@
     format!("id: {at}:{}\ndata: {data}\n\n", token.index + 1)
 }
 
-fn end(request: &str, model: &str, held: Option<(id::Request, Token)>, done: &Done) -> String {
-    let last = match held {
+fn end(
+    request: &str,
+    model: &str,
+    final_token: Option<(id::Request, Token)>,
+    done: &Done,
+) -> String {
+    let last = match final_token {
         Some((at, token)) => chunk(request, model, &at, &token, Some("stop")),
         None => {
             let data = json!({
--- a/crates/router/src/draft.rs
+++ b/crates/router/src/draft.rs
@@ -1,4 +1,4 @@
-//! A draft as the router knows it: what its caller wants, and what happens to it.
+//! A draft in the router: its parameters and the events of its run.
 
 use policy::work::Cost;
 use tokio::time::Instant;
@@ -6,58 +6,59 @@
 use wire::id;
 use wire::refusal::Refusal;
 
-use crate::admission::{Target, Want};
+use crate::admission::{Requirements, Target};
 
-/// What a caller wants.
+/// The parameters of a draft.
 #[derive(Debug, Clone)]
-pub struct Wanted {
-    /// The part of the request id that stays the same.
+pub struct Spec {
+    /// The part of the request id that stays the same on all heads.
     pub unique: String,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: id::Workspace,
-    /// Model.
+    /// Model to run.
     pub model: config::fleet::Model,
-    /// Prompt.
+    /// Text to continue.
     pub prompt: String,
-    /// Tokens to generate at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Engine priority.
+    /// Priority in the queue and at the engine.
     pub priority: u8,
     /// Hash of model and prompt.
     pub fingerprint: id::Fingerprint,
-    /// When the caller no longer waits.
-    pub until: Instant,
+    /// When the caller stops waiting.
+    pub deadline: Instant,
 }
 
-/// Bytes of a prompt that name its prefix: drafts that share more share an engine's cache.
-const PREFIX: usize = 256;
+/// Bytes of a prompt that identify its prefix: drafts with the same prefix can share an engine's
+/// cache.
+const PREFIX_BYTES: usize = 256;
 
-/// Bytes of text for a token, for estimates before the engine has counted them.
-const TOKEN_BYTES: u32 = 4;
+/// Bytes of text per token, for estimates before the engine has counted the tokens.
+const BYTES_PER_TOKEN: u32 = 4;
 
-impl Wanted {
-    /// The same as the policy sees it: how much work, for whom, until when.
-    pub(crate) fn want(&self) -> Want {
-        let prompt = (self.prompt.len() as u32).div_ceil(TOKEN_BYTES);
-        Want {
+impl Spec {
+    /// What the draft requires of a model, for its admission.
+    pub(crate) fn requirements(&self) -> Requirements {
+        let prompt = (self.prompt.len() as u32).div_ceil(BYTES_PER_TOKEN);
+        Requirements {
             target: Target::Model(self.model.name.clone()),
             workspace: self.workspace.clone(),
             priority: self.priority,
             cost: Cost { prompt, output: self.max_tokens },
-            until: self.until,
-            prefix: Some(policy::affinity::prefix(&self.prompt, PREFIX)),
+            deadline: self.deadline,
+            prefix: Some(policy::affinity::prefix(&self.prompt, PREFIX_BYTES)),
             keyed: false,
         }
     }
 }
 
-/// What happens to a draft, in order: one `Accepted`, tokens, one end. A refusal
-/// may come first.
+/// An event of a draft. In order: one `Accepted`, tokens, and one `Done` or `Refused`. A `Refused`
+/// may also come first.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// It runs under this request id.
+    /// It runs under this request id; its prompt has this many tokens.
     Accepted(id::Request, u32),
-    /// A token, under the id to resume with.
+    /// A token, with the request id to resume with.
     Token(id::Request, Token),
     /// It is complete.
     Done(Done),
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -1,5 +1,5 @@
-//! A draft from the router's side: choosing a head, following it, and going on
-//! with another one when it is lost.
+//! Running a draft from the router: choosing a head, receiving its tokens, and continuing with
+//! another head if it is lost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 
 use crate::Router;
 use crate::admission::{self, Grant};
-use crate::draft::{Event, Wanted};
+use crate::draft::{Event, Spec};
 
-/// Time an agent has to accept or refuse a draft.
+/// Time within which an agent has to accept or refuse a draft.
 const ACCEPT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often a silent head is compared with the view of the agents.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often the view of the agents is checked while a head is silent.
+const VIEW_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a lost head is told that its draft goes on elsewhere: as long as a
-/// head runs a draft that nobody follows.
-const ABANDONED: Duration = Duration::from_secs(15);
+/// How long to try to cancel a draft at a lost head: as long as a head runs a draft that no router
+/// follows.
+const CANCEL_PERIOD: Duration = Duration::from_secs(15);
 
-/// Pause between two such tries.
+/// Pause before each such try, and time limit of the try.
 const CANCEL_PAUSE: Duration = Duration::from_millis(500);
 
-/// How one head ended.
+/// How following one head ended.
 enum End {
     /// The caller has the whole answer.
     Done,
-    /// The caller has gone or has a refusal.
-    Over,
-    /// The head is lost; another one goes on.
+    /// The caller has disconnected or has received a refusal.
+    Closed,
+    /// The head is lost; another one may continue.
     Lost(String),
 }
 
@@ -45,54 +45,55 @@
     workspace: id::Workspace,
     request: id::Request,
     head: Place,
-    /// Tokens the caller has.
-    words: Vec<Word>,
+    /// Tokens sent to the caller.
+    tokens: Vec<Word>,
     accepted: bool,
-    /// A head did not answer, so it may run the draft all the same.
-    doubted: bool,
-    /// Hash of the content; unknown for a caller that came back.
+    /// A head did not answer, but may run the draft.
+    may_have_run: bool,
+    /// Hash of the content; unknown for a caller that has reconnected.
     fingerprint: Option<id::Fingerprint>,
     /// Lost heads, each with the task that cancels the draft there.
-    given_up: Vec<(id::Vm, tokio::task::JoinHandle<()>)>,
+    cancellations: Vec<(id::Vm, tokio::task::JoinHandle<()>)>,
 }
 
-/// Runs a draft until its caller has the whole answer or an honest refusal.
-pub async fn run(router: Arc<Router>, wanted: Wanted, events: mpsc::Sender<Event>) {
+/// Runs a draft until its caller has the whole answer or a refusal that says whether it may have
+/// run.
+pub async fn run(router: Arc<Router>, spec: Spec, events: mpsc::Sender<Event>) {
     let mut follower = Follower {
         router,
         events,
-        workspace: wanted.workspace.clone(),
-        request: wanted.unique.clone(),
+        workspace: spec.workspace.clone(),
+        request: spec.unique.clone(),
         head: Place { vm: String::new(), address: String::new() },
-        words: Vec::new(),
+        tokens: Vec::new(),
         accepted: false,
-        doubted: false,
-        fingerprint: Some(wanted.fingerprint),
-        given_up: Vec::new(),
+        may_have_run: false,
+        fingerprint: Some(spec.fingerprint),
+        cancellations: Vec::new(),
     };
     let mut attempt = 0;
     loop {
-        let (stream, grant) = match follower.start(&wanted, attempt).await {
+        let (stream, grant) = match follower.start(&spec, attempt).await {
             Ok(started) => started,
             Err(refusal) => return follower.refuse(refusal).await,
         };
         match follower.follow(stream).await {
             End::Done => return grant.succeeded(),
-            End::Over => return,
+            End::Closed => return,
             End::Lost(why) => {
                 log::warn!("head: {} lost {}: {why}", follower.head.vm, follower.request);
                 let text = format!("head {} is lost: {why}", follower.head.vm);
                 follower.router.node.trace.add(&follower.request, "head", text);
                 follower.router.node.metrics.retries.add(1, &[]);
                 grant.failed(&follower.head.vm);
-                follower.give_up();
+                follower.cancel_at_lost_head();
             }
         }
         attempt += HEAD_STRIDE;
     }
 }
 
-/// Goes on with a draft for a caller that has `after` tokens.
+/// Continues a draft for a caller that has already received `after` tokens.
 pub async fn attach(router: Arc<Router>, attach: Attach, head: Place, events: mpsc::Sender<Event>) {
     let mut follower = Follower {
         router,
@@ -100,14 +101,14 @@
         workspace: attach.workspace.clone(),
         request: attach.request.clone(),
         head,
-        words: Vec::new(),
+        tokens: Vec::new(),
         accepted: false,
-        doubted: false,
+        may_have_run: false,
         fingerprint: None,
-        given_up: Vec::new(),
+        cancellations: Vec::new(),
     };
     let ask = Ask::Attach(attach);
-    let opened = follower.ask(&ask).await;
+    let opened = follower.submit(&ask).await;
     let end = match opened {
         Ok(stream) => follower.follow(stream).await,
         Err(refusal) => return follower.refuse(refusal).await,
@@ -119,46 +120,46 @@
 }
 
 impl Follower {
-    /// Gets the draft accepted by a head, as soon as it is its turn.
+    /// Waits for admission, then offers the draft to heads until one accepts it.
     async fn start(
         &mut self,
-        wanted: &Wanted,
+        spec: &Spec,
         attempt: id::Attempt,
     ) -> Result<(Stream, Grant), Refusal> {
-        self.not_quarantined(wanted)?;
+        self.check_quarantine(spec)?;
         let admission = self.router.admission.clone();
         let mut grant = match attempt {
-            0 => self.unless_gone(admission.ask(wanted.want())).await?,
-            _ => self.unless_gone(admission.recover(wanted.want())).await?,
+            0 => self.while_connected(admission.admit(spec.requirements())).await?,
+            _ => self.while_connected(admission.recover(spec.requirements())).await?,
         };
         loop {
-            let refusal = match self.offer(wanted, attempt, &grant).await {
+            let refusal = match self.offer(spec, attempt, &grant).await {
                 Ok(stream) => return Ok((stream, grant)),
                 Err(refusal) => refusal,
             };
-            let again = matches!(
+            let is_retryable = matches!(
                 refusal.cause,
                 Cause::Busy | Cause::Leaving | Cause::Unavailable | Cause::Lost
             );
-            if !again {
+            if !is_retryable {
                 return Err(refusal);
             }
             self.router.node.metrics.retries.add(1, &[]);
-            let outcome = admission::certain(&refusal);
-            grant = self.unless_gone(grant.again(refusal, outcome)).await?;
+            let outcome = admission::retry_outcome(&refusal);
+            grant = self.while_connected(grant.retry(refusal, outcome)).await?;
         }
     }
 
-    fn not_quarantined(&self, wanted: &Wanted) -> Result<(), Refusal> {
+    fn check_quarantine(&self, spec: &Spec) -> Result<(), Refusal> {
         let node = &self.router.node;
-        match node.quarantine.verdict(wanted.fingerprint) {
-            Verdict::Refused { left } => Err(quarantined(&node.process.vm, left)),
+        match node.quarantine.verdict(spec.fingerprint) {
+            Verdict::Refused { left } => Err(quarantine_refusal(&node.process.vm, left)),
             _ => Ok(()),
         }
     }
 
-    /// Waits for a turn as long as the caller does.
-    async fn unless_gone(
+    /// Waits for admission as long as the caller is connected.
+    async fn while_connected(
         &self,
         turn: impl Future<Output = Result<Grant, Refusal>>,
     ) -> Result<Grant, Refusal> {
@@ -174,13 +175,13 @@
     /// Offers the draft to the head of a chain.
     async fn offer(
         &mut self,
-        wanted: &Wanted,
+        spec: &Spec,
         attempt: id::Attempt,
         grant: &Grant,
     ) -> Result<Stream, Refusal> {
-        // It may have been put there while the draft waited.
-        self.not_quarantined(wanted)?;
-        let chain = self.router.view.hops(&wanted.model, grant.chain());
+        // It may have been quarantined while the draft was queued.
+        self.check_quarantine(spec)?;
+        let chain = self.router.view.hops(&spec.model, grant.chain());
         let Some(head) = chain.first().and_then(|hop| hop.replicas.first()) else {
             let why = "the head is no longer listed";
             let vm = grant.chain().first().and_then(|list| list.first());
@@ -188,14 +189,14 @@
             return Err(Refusal::not_run(Cause::Unavailable, "choose", vm, why));
         };
         self.head = head.clone();
-        self.request = self.request_id(&wanted.unique);
-        // The same process again gets the same request id: the late cancelling
-        // of its first run would end the new one.
-        for (_, task) in self.given_up.iter().filter(|(vm, _)| *vm == self.head.vm) {
+        self.request = self.request_id(&spec.unique);
+        // A process that is chosen again gets the same request id, so a late cancellation of its
+        // first run would end the new one.
+        for (_, task) in self.cancellations.iter().filter(|(vm, _)| *vm == self.head.vm) {
             task.abort();
         }
-        let ask = Ask::Draft(self.draft(wanted, attempt, chain));
-        self.ask(&ask).await
+        let ask = Ask::Draft(self.draft(spec, attempt, chain));
+        self.submit(&ask).await
     }
 
     fn request_id(&self, unique: &str) -> id::Request {
@@ -204,43 +205,43 @@
         format!("{}.{incarnation}.{unique}", self.head.vm)
     }
 
-    fn draft(&self, wanted: &Wanted, attempt: id::Attempt, chain: Vec<Hop>) -> Draft {
+    fn draft(&self, spec: &Spec, attempt: id::Attempt, chain: Vec<Hop>) -> Draft {
         Draft {
             request: self.request.clone(),
-            workspace: wanted.workspace.clone(),
-            model: wanted.model.name.clone(),
-            prompt: wanted.prompt.clone(),
-            delivered: self.words.iter().map(|w| w.id).collect(),
+            workspace: spec.workspace.clone(),
+            model: spec.model.name.clone(),
+            prompt: spec.prompt.clone(),
+            delivered: self.tokens.iter().map(|w| w.id).collect(),
             attempt,
-            max_tokens: wanted.max_tokens,
-            priority: wanted.priority,
-            deadline: wanted.until.saturating_duration_since(Instant::now()),
-            fingerprint: wanted.fingerprint,
-            suspect: self.router.node.quarantine.verdict(wanted.fingerprint) == Verdict::Alone,
+            max_tokens: spec.max_tokens,
+            priority: spec.priority,
+            deadline: spec.deadline.saturating_duration_since(Instant::now()),
+            fingerprint: spec.fingerprint,
+            suspect: self.router.node.quarantine.verdict(spec.fingerprint) == Verdict::Alone,
             chain,
         }
     }
 
-    /// Opens a stream to the head and reads whether it accepts.
-    async fn ask(&mut self, ask: &Ask) -> Result<Stream, Refusal> {
+    /// Opens a stream to the head and waits for it to accept or refuse.
+    async fn submit(&mut self, ask: &Ask) -> Result<Stream, Refusal> {
         let (vm, address) = (self.head.vm.clone(), self.head.address.clone());
         let _wait = self.router.node.peers.register_wait(&vm, &address);
         let connection = self.router.node.peers.connection(&vm, &address).await;
         let connection = connection
             .map_err(|e| Refusal::not_run(Cause::Unavailable, "offer", &vm, e.to_string()))?;
-        // From here on the draft may have reached the head, and a head whose
-        // answer is late or lost may run it.
-        let down = |why: String| Refusal::unknown(Cause::Lost, "offer", &vm, why);
-        let asked = async {
+        // From here on the head may have received the draft: if its answer is late or lost, it may
+        // run it.
+        let lost = |why: String| Refusal::unknown(Cause::Lost, "offer", &vm, why);
+        let answer = async {
             let mut stream =
-                wire::link::open(&connection, &vm, ask).await.map_err(|e| down(e.to_string()))?;
-            let tell = stream.expect::<Tell>().await.map_err(|e| down(e.to_string()))?;
+                wire::link::open(&connection, &vm, ask).await.map_err(|e| lost(e.to_string()))?;
+            let tell = stream.expect::<Tell>().await.map_err(|e| lost(e.to_string()))?;
             Ok((stream, tell))
         };
-        let asked = tokio::time::timeout(ACCEPT_TIMEOUT, asked).await;
-        let asked = asked.unwrap_or_else(|_| Err(down("no answer in time".into())));
-        self.doubted |= asked.is_err();
-        let (stream, tell) = asked?;
+        let answer = tokio::time::timeout(ACCEPT_TIMEOUT, answer).await;
+        let answer = answer.unwrap_or_else(|_| Err(lost("no answer in time".into())));
+        self.may_have_run |= answer.is_err();
+        let (stream, tell) = answer?;
         match tell {
             Tell::Accepted(accepted) => {
                 if !self.accepted {
@@ -251,11 +252,11 @@
                 Ok(stream)
             }
             Tell::Refused(refusal) => Err(refusal),
-            _ => Err(down("unexpected frame".into())),
+            _ => Err(lost("unexpected frame".into())),
         }
     }
 
-    /// Passes tokens on until the draft ends, the caller goes or the head is lost.
+    /// Forwards tokens until the draft ends, the caller disconnects or the head is lost.
     async fn follow(&mut self, mut stream: Stream) -> End {
         let _wait = self.router.node.peers.register_wait(&self.head.vm, &self.head.address);
         loop {
@@ -263,19 +264,19 @@
                 tell = stream.expect::<Tell>() => tell,
                 () = self.events.closed() => {
                     self.cancel().await;
-                    return End::Over;
+                    return End::Closed;
                 }
-                () = down(&self.router, &self.head.vm) => {
+                () = until_down(&self.router, &self.head.vm) => {
                     return End::Lost("no report from it".into());
                 }
             };
             match tell {
                 Ok(Tell::Token(token)) => {
-                    self.words.push(token.word.clone());
+                    self.tokens.push(token.word.clone());
                     let event = Event::Token(self.request.clone(), token);
                     if self.events.send(event).await.is_err() {
                         self.cancel().await;
-                        return End::Over;
+                        return End::Closed;
                     }
                 }
                 Ok(Tell::Done(done)) => {
@@ -285,7 +286,7 @@
                 }
                 Ok(Tell::Refused(refusal)) => {
                     self.refuse(refusal).await;
-                    return End::Over;
+                    return End::Closed;
                 }
                 Ok(_) => return End::Lost("unexpected frame".into()),
                 Err(e) => return End::Lost(e.to_string()),
@@ -293,31 +294,30 @@
         }
     }
 
-    /// Tells a lost head that its draft goes on elsewhere, as soon as it can be
-    /// reached. A head that was only frozen would otherwise go on for [`ABANDONED`]
-    /// and take up slots for an answer that nobody reads.
-    fn give_up(&mut self) {
+    /// Cancels the draft at a lost head as soon as the head can be reached. A head that was only
+    /// frozen would otherwise run it for [`CANCEL_PERIOD`] and hold slots for an answer that nobody
+    /// reads.
+    fn cancel_at_lost_head(&mut self) {
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
         let (head, router) = (self.head.clone(), self.router.clone());
         let ask = Ask::Cancel(Cancel { request, workspace });
         let task = tokio::spawn(async move {
-            let until = Instant::now() + ABANDONED;
-            while Instant::now() < until {
+            let end = Instant::now() + CANCEL_PERIOD;
+            while Instant::now() < end {
                 tokio::time::sleep(CANCEL_PAUSE).await;
-                let asked = router.node.peers.request::<_, Tell>(&head.vm, &head.address, &ask);
-                if tokio::time::timeout(CANCEL_PAUSE, asked).await.is_ok_and(|r| r.is_ok()) {
+                let answer = router.node.peers.request::<_, Tell>(&head.vm, &head.address, &ask);
+                if tokio::time::timeout(CANCEL_PAUSE, answer).await.is_ok_and(|r| r.is_ok()) {
                     return;
                 }
             }
         });
-        self.given_up.push((self.head.vm.clone(), task));
+        self.cancellations.push((self.head.vm.clone(), task));
     }
 
     async fn cancel(&self) {
-        // A stopping router closes its callers' connections itself at the end of
-        // its time. The caller goes on through another router, and a draft that
-        // was cancelled here would be lost to it. The head gives up what nobody
-        // comes back for.
+        // A stopping router closes its callers' connections itself when its time to drain ends.
+        // The callers resume through another router, which could not continue a draft cancelled
+        // here. The head cancels drafts that nobody resumes.
         if self.router.node.stop.raised() {
             return;
         }
@@ -325,17 +325,17 @@
         let ask = Ask::Cancel(Cancel { request, workspace });
         let peers = &self.router.node.peers;
         if let Err(e) = peers.request::<_, Tell>(&self.head.vm, &self.head.address, &ask).await {
-            log::debug!("head: a cancelled draft could not be stopped: {e}");
+            log::debug!("head: could not cancel a draft: {e}");
         }
     }
 
-    /// Tells the caller the end. What was accepted once, or sent to a head that
-    /// did not answer, may have run in part.
+    /// Sends the caller the refusal that ends the draft. A draft that was accepted once, or sent to
+    /// a head that did not answer, may have run in part.
     async fn refuse(&self, mut refusal: Refusal) {
         if refusal.cause == Cause::Quarantined {
             self.fingerprint.iter().for_each(|f| self.router.node.quarantine.merge_refusal(*f));
         }
-        if (self.accepted || self.doubted) && refusal.outcome == Outcome::NotRun {
+        if (self.accepted || self.may_have_run) && refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::Unknown;
         }
         self.router.node.trace.add(&self.request, "refuse", refusal.to_string());
@@ -344,14 +344,14 @@
     }
 }
 
-fn quarantined(vm: &str, left: Duration) -> Refusal {
+fn quarantine_refusal(vm: &str, left: Duration) -> Refusal {
     let why = format!("it crashed engines and is in quarantine for {} s more", left.as_secs());
     Refusal::refused(Cause::Quarantined, "choose", vm, why)
 }
 
-/// Resolves when an agent that is being followed can't be reached any more.
-async fn down(router: &Router, vm: &str) {
-    while !router.view.down(vm) {
-        tokio::time::sleep(LOOK).await;
+/// Resolves when an agent can no longer be reached.
+async fn until_down(router: &Router, vm: &str) {
+    while !router.view.is_down(vm) {
+        tokio::time::sleep(VIEW_CHECK_INTERVAL).await;
     }
 }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,5 +1,5 @@
-//! The entry daemon: takes callers' requests, chooses backend servers, keeps the
-//! caller's connection and deadline.
+//! The entry daemon: accepts callers' requests, chooses backend servers, and keeps each caller's
+//! connection and deadline.
 
 pub mod admission;
 pub mod caller;
@@ -25,17 +25,17 @@
 use wire::frame::{Ask, Backend, Gaps, Place, Stage, Tell};
 use wire::link::Stream;
 
-/// A router and its parts.
+/// The shared state of a router.
 #[derive(Debug)]
 pub struct Router {
-    /// What every daemon has.
+    /// What all daemons have.
     pub node: Arc<Node>,
-    /// The agents as this router sees them.
+    /// The agents as last reported to this router.
     pub view: Arc<view::View>,
-    /// What is let in and where it goes.
+    /// Admission and placement of requests.
     pub admission: admission::Admission,
-    /// Raised when the time to drain has passed: what still runs is answered now.
-    pub ending: Stop,
+    /// Raised when the time to drain has passed: requests in progress are answered at once.
+    pub drain_expired: Stop,
 }
 
 impl Router {
@@ -69,23 +69,24 @@
     }
 }
 
-/// Runs a router until it is told to stop and its callers have their answers.
+/// Runs a router until it receives a stop signal and its callers have their answers.
 pub async fn run(process: Process) -> Result<(), Error> {
     let node = node::start(process).await?;
     let (admission, messages) = admission::Admission::new();
     tokio::spawn(task::run(node.clone(), admission.clone(), messages));
     let view = view::start(&node, admission.clone());
-    let router = Arc::new(Router { node: node.clone(), view, admission, ending: Stop::new() });
+    let router =
+        Arc::new(Router { node: node.clone(), view, admission, drain_expired: Stop::new() });
 
     let handle = router.clone();
     tokio::spawn(node::serve::run(node.clone(), move |ask, stream| {
-        answer(handle.clone(), ask, stream)
+        answer_peer(handle.clone(), ask, stream)
     }));
     let served = serve_callers(router.clone()).await?;
-    log::info!("router: {} takes callers on {}", node.process.vm, node.process.http);
+    log::info!("router: {} accepts callers on {}", node.process.vm, node.process.http);
     served.await.map_err(|e| Error::new("serve callers", e))?;
 
-    // Gives the last frames on the links time to leave.
+    // Leaves time to send the last frames on the links.
     tokio::time::sleep(Duration::from_millis(200)).await;
     node.peers.endpoint().close(0u32.into(), b"stopped");
     node.peers.endpoint().wait_idle().await;
@@ -93,7 +94,7 @@
     Ok(())
 }
 
-/// Starts the HTTP side. The handle resolves when it has drained after a stop.
+/// Starts the HTTP server. The handle resolves when the server has drained after a stop.
 async fn serve_callers(router: Arc<Router>) -> Result<tokio::task::JoinHandle<()>, Error> {
     let http = router.node.process.http;
     let acceptor =
@@ -119,10 +120,10 @@
                 .get(completion::Get(router.clone()))
                 .delete(completion::Delete(router.clone())),
         )
-        .push(salvo::Router::with_path("{**path}").goal(service::Any(router)))
+        .push(salvo::Router::with_path("{**path}").goal(service::Forward(router)))
 }
 
-async fn answer(router: Arc<Router>, ask: Ask, mut stream: Stream) {
+async fn answer_peer(router: Arc<Router>, ask: Ask, mut stream: Stream) {
     let tell = match ask {
         Ask::Status => Tell::Text(router.status().to_string()),
         Ask::Replicas(stage) => Tell::Places(replicas(&router, stage).await),
@@ -135,8 +136,8 @@
     }
 }
 
-/// Replicas of a range as the policy orders them, then the others that can be used: a
-/// draft in progress tries them all before it is lost.
+/// Replicas of a range in the policy's order, followed by all other usable ones: a draft in
+/// progress tries them all before it fails.
 async fn replicas(router: &Router, stage: Stage) -> Vec<Place> {
     let best = router.admission.replicas(stage.clone()).await;
     let mut places: Vec<Place> =
@@ -150,17 +151,18 @@
     places
 }
 
-/// Ranges of the settings that no usable agent holds, and how many hold `own`.
+/// Ranges in the settings that no usable agent holds, and the number of agents that hold `own`.
 fn gaps(router: &Router, own: Option<Stage>) -> Gaps {
     let stage = |backend| match backend {
         Backend::Stage(stage) => Some(stage),
         _ => None,
     };
     let backends = router.view.usable().into_iter().filter_map(|a| Some(a.report?.backend));
-    let mut held: Vec<Stage> = backends.filter_map(stage).collect();
-    held.sort();
-    let count =
-        |stage: &Stage| held.partition_point(|s| s <= stage) - held.partition_point(|s| s < stage);
+    let mut ranges: Vec<Stage> = backends.filter_map(stage).collect();
+    ranges.sort();
+    let count = |stage: &Stage| {
+        ranges.partition_point(|s| s <= stage) - ranges.partition_point(|s| s < stage)
+    };
     let fleet = router.node.settings.borrow().fleet.clone();
     let stages = fleet.models.iter().flat_map(|m| {
         let stage = |&(first, last): &(u32, u32)| {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,9 +5,9 @@
 use clap::Parser;
 use node::daemon;
 
-/// Takes callers' requests over HTTP and runs them on the fleet.
+/// Accepts callers' requests over HTTP and runs them on the fleet.
 ///
-/// Stops on SIGTERM: it tells the balancer, finishes what runs, then exits with 0.
+/// Stops on SIGTERM: reports itself as not ready, finishes requests in progress, exits with 0.
 #[derive(Parser)]
 #[command(version, after_help = daemon::EXIT_CODES)]
 struct Args {
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -1,5 +1,5 @@
-//! What belongs to one model or plain service: a queue, a table of agents and a retry
-//! budget of the `policy` crate.
+//! The state of one model or plain service: its queue, table of agents and retry budget of the
+//! `policy` crate.
 
 use std::time::Duration;
 
@@ -15,33 +15,33 @@
 use tokio::time::Instant;
 use wire::frame::{Backend, Report, Stage};
 
-use crate::admission::{Slip, Target, Wait};
+use crate::admission::{Job, Pending, Target};
 
-/// Agents whose first report comes within this time of the router's own start are
-/// taken as warm: nothing shifts to them because this router is new.
-const WARM: Duration = Duration::from_secs(3);
+/// Agents whose first report arrives within this time of the router's start count as warm and are
+/// not ramped up: they are new to this router only.
+const WARM_START_PERIOD: Duration = Duration::from_secs(3);
 
-/// Time assumed for a link between two data centres. At 1 ms every chain over more than
-/// one data centre counted as a bad match beside steps of 2 to 5 ms, so that free slots
-/// were held back for a better one that never came (see docs/design/decisions.md).
-const LINK: Duration = Duration::from_micros(100);
+/// Time assumed for a link between two data centres. At 1 ms every chain across data centres
+/// counted as a bad match beside steps of 2 to 5 ms, and free slots were held back for a better
+/// match that never came (see docs/design/decisions.md).
+const ASSUMED_LINK_TIME: Duration = Duration::from_micros(100);
 
-/// What belongs to one model or plain service.
+/// The state of one model or plain service.
 pub(crate) struct Pool {
     pub(crate) target: Target,
     /// Version and ranges of the model; `None` for a service.
     pub(crate) model: Option<Model>,
     pub(crate) table: Table,
-    pub(crate) queue: Queue<Wait>,
+    pub(crate) queue: Queue<Pending>,
     pub(crate) budget: Budget,
-    /// Requests in progress without a head.
-    pub(crate) recovering: Vec<Slip>,
-    /// Refused requests and when they go on.
-    pub(crate) paused: Vec<(Duration, Slip)>,
+    /// Requests in progress whose head is lost.
+    pub(crate) recovering: Vec<Job>,
+    /// Refused requests, with the time at which they are queued again.
+    pub(crate) paused: Vec<(Duration, Job)>,
     /// VMs in the table, sorted.
     pub(crate) vms: Vec<Vm>,
     /// True once an agent has reported a step time.
-    measured: bool,
+    has_step_time: bool,
 }
 
 impl Pool {
@@ -55,7 +55,7 @@
             recovering: Vec::new(),
             paused: Vec::new(),
             vms: Vec::new(),
-            measured: false,
+            has_step_time: false,
         }
     }
 
@@ -65,19 +65,24 @@
         }
     }
 
-    pub(crate) fn ask(&self, wait: &Wait, left: Duration, now: Duration) -> queue::Request {
-        let run = wait.want.cost.run(self.table.step());
+    pub(crate) fn queue_request(
+        &self,
+        pending: &Pending,
+        left: Duration,
+        now: Duration,
+    ) -> queue::Request {
+        let run = pending.requirements.cost.run(self.table.step());
         queue::Request {
-            workspace: wait.want.workspace.clone(),
-            priority: wait.want.priority,
-            // Before the first step time nothing is known, and nothing is refused as too long.
-            run: if self.measured { run } else { run.min(left / 2) },
+            workspace: pending.requirements.workspace.clone(),
+            priority: pending.requirements.priority,
+            // Before the first step time is known no request is refused as too long.
+            run: if self.has_step_time { run } else { run.min(left / 2) },
             deadline: now + left,
         }
     }
 
-    /// Notes which agents refused a request, and that the others did not run it.
-    pub(crate) fn tried(
+    /// Records which agents refused a request, and that the others did not run it.
+    pub(crate) fn record_refusal(
         &mut self,
         chain: &Chain,
         peer: &str,
@@ -93,8 +98,8 @@
                     self.table.started(peer, now);
                     self.table.ended(peer, End::Failed, now);
                 }
-                // The head itself is the only one tried of the first range; of a later
-                // range it tries all before it refuses.
+                // Of the first range only the head itself was tried; of a later range the head
+                // tries all replicas before it refuses.
                 (true, true, _) => {
                     self.table.refused(first, now);
                     for vm in list.iter().skip(1).filter(|_| i > 0) {
@@ -109,8 +114,8 @@
         }
     }
 
-    /// Takes over a report; true when the agent is one of this pool's.
-    pub(crate) fn report(
+    /// Applies a report; returns true if the agent belongs to this pool.
+    pub(crate) fn apply_report(
         &mut self,
         (data_centre, report): &(String, Report),
         now: Duration,
@@ -126,15 +131,15 @@
         match known {
             Err(at) => {
                 self.vms.insert(at, vm.clone());
-                match now < WARM {
+                match now < WARM_START_PERIOD {
                     true => self.table.warm(range, vm, data_centre, report.slots),
                     false => self.table.join(range, vm, data_centre, report.slots, now),
                 }
             }
-            // Only a VM that was gone is changed by this.
+            // Has an effect only on a VM that was removed.
             Ok(_) => self.table.join(range, vm, data_centre, report.slots, now),
         }
-        self.measured |= report.step_us > 0;
+        self.has_step_time |= report.step_us > 0;
         let load = Load {
             slots: report.slots,
             busy: report.busy,
@@ -143,39 +148,39 @@
             age: Duration::ZERO,
         };
         if self.table.report(vm, &load, now) {
-            log::warn!("pool: {vm} is far slower than its peers and gets no work for a while");
+            log::warn!("pool: {vm} ejected for a while: it is far slower than its peers");
         }
         true
     }
 
-    /// The best chain for a request; `None` when it has to wait.
+    /// The best chain for a request; `None` if the request has to wait.
     pub(crate) fn chain(
         &mut self,
-        slip: &Slip,
+        job: &Job,
         data_centre: &str,
         now: Duration,
         rng: &mut impl Rng,
     ) -> Option<Chain> {
-        let wait = slip.wait();
-        let mut ask = route::Request {
-            cost: wait.want.cost,
-            left: wait.want.until.saturating_duration_since(Instant::now()),
-            prefix: wait.want.prefix,
-            keyed: wait.want.keyed,
-            recovery: matches!(slip, Slip::Recovery(_)),
+        let pending = job.pending();
+        let mut request = route::Request {
+            cost: pending.requirements.cost,
+            left: pending.requirements.deadline.saturating_duration_since(Instant::now()),
+            prefix: pending.requirements.prefix,
+            keyed: pending.requirements.keyed,
+            recovery: matches!(job, Job::Recovery(_)),
             from: self.table.data_centre(data_centre),
-            avoid: &wait.avoid,
+            avoid: &pending.avoid,
         };
-        let mut chain = self.table.chain(&ask, now, rng);
-        // Better one that failed it before than none.
-        if chain.is_none() && !ask.avoid.is_empty() {
-            ask.avoid = &[];
-            chain = self.table.chain(&ask, now, rng);
+        let mut chain = self.table.chain(&request, now, rng);
+        // A VM that failed the request before is better than none.
+        if chain.is_none() && !request.avoid.is_empty() {
+            request.avoid = &[];
+            chain = self.table.chain(&request, now, rng);
         }
         chain.filter(|c| c.iter().all(|list| !list.is_empty()))
     }
 
-    /// Replicas of a range for a draft that has lost its stage there, best first.
+    /// Replicas of a range for a draft whose stage there is lost, best first.
     pub(crate) fn replicas(
         &mut self,
         stage: Stage,
@@ -184,7 +189,7 @@
         rng: &mut impl Rng,
     ) -> Vec<Vm> {
         let Some(range) = self.range(&Backend::Stage(stage)) else { return Vec::new() };
-        let ask = route::Request {
+        let request = route::Request {
             cost: Cost { prompt: 1, output: 1 },
             left: Duration::from_secs(1),
             prefix: None,
@@ -193,7 +198,7 @@
             from: self.table.data_centre(data_centre),
             avoid: &[],
         };
-        let chain = self.table.chain(&ask, now, rng).unwrap_or_default();
+        let chain = self.table.chain(&request, now, rng).unwrap_or_default();
         chain.into_iter().nth(range).unwrap_or_default()
     }
 
@@ -210,9 +215,9 @@
     }
 }
 
-/// A table for a model; for a plain service without one.
+/// A table of agents for a model, or for a plain service if there is no model.
 pub(crate) fn table(model: Option<&Model>) -> Table {
-    Table::new(model.map_or(1, |m| m.ranges.len()), Links::new(LINK))
+    Table::new(model.map_or(1, |m| m.ranges.len()), Links::new(ASSUMED_LINK_TIME))
 }
 
 /// All models and plain services of the settings.
--- a/crates/router/src/problem.rs
+++ b/crates/router/src/problem.rs
@@ -49,12 +49,12 @@
     })
 }
 
-/// Answers with a refusal.
+/// Writes a refusal as the response.
 pub fn render(res: &mut Response, refusal: &Refusal, request: &str) {
     render_as(res, status(refusal), refusal, request);
 }
 
-/// Answers with a refusal under another status.
+/// Writes a refusal as the response, with the given status.
 pub fn render_as(res: &mut Response, status: u16, refusal: &Refusal, request: &str) {
     res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY));
     let mut body = body(refusal, request);
@@ -69,11 +69,11 @@
         headers.insert("x-request-id", value);
     }
     if let Err(e) = res.write_body(body.to_string()) {
-        log::warn!("problem: the answer can't be written: {e}");
+        log::warn!("problem: could not write the response: {e}");
     }
 }
 
-/// Retry-After has whole seconds; rounded up so that nobody comes too early.
+/// The time in whole seconds, as Retry-After has them; rounded up so that nobody retries too early.
 fn whole_seconds(time: Duration) -> u64 {
     time.as_millis().div_ceil(1000) as u64
 }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, passed on by the contract of their route.
+//! Calls of plain services, forwarded by the contract of their route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,38 +11,38 @@
 use wire::frame::{Ask, Call, Class, Place, Reply, Tell};
 use wire::refusal::{Cause, Outcome, Refusal};
 
-use crate::admission::{self, Target, Want};
+use crate::admission::{self, Requirements, Target};
 use crate::{Router, caller, drain, problem};
 
-/// Header with the caller's key for a write.
-pub const KEY: &str = "idempotency-key";
+/// Header with the caller's idempotency key for a write.
+pub const KEY_HEADER: &str = "idempotency-key";
 
-/// Longest key in bytes.
-const KEY_LENGTH: usize = 200;
+/// Longest idempotency key.
+const MAX_KEY_BYTES: usize = 200;
 
-/// When a caller may come back when no agent could take the call.
+/// When a caller may retry if no agent could take the call.
 const BUSY_RETRY: Duration = Duration::from_millis(500);
 
-/// Headers of the caller that are for the router and not passed on.
-const OWN: [&str; 3] = ["authorization", caller::DEADLINE, "host"];
+/// Headers of the caller that are meant for the router and not forwarded.
+const ROUTER_HEADERS: [&str; 3] = ["authorization", caller::DEADLINE_HEADER, "host"];
 
-/// Any path that is not the router's own.
-pub struct Any(pub Arc<Router>);
+/// Handles all paths that are not the router's own.
+pub struct Forward(pub Arc<Router>);
 
 #[handler]
-impl Any {
+impl Forward {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let router = &self.0;
         let (caller, body) = match caller::receive(router, req).await {
             Ok(received) => received,
             Err((status, refusal)) => return problem::render_as(res, status, &refusal, ""),
         };
-        match call(router, &caller.fleet, &caller.workspace, req, body) {
-            Ok((call, until)) => {
+        match parse(router, &caller.fleet, &caller.workspace, req, body) {
+            Ok((call, deadline)) => {
                 let request = call.request.clone();
                 let done = tokio::select! {
-                    done = run(router, call, caller.workspace.priority, until) => done,
-                    () = router.ending.wait() => Err(drain::unfinished(router)),
+                    done = run(router, call, caller.workspace.priority, deadline) => done,
+                    () = router.drain_expired.wait() => Err(drain::unfinished(router)),
                 };
                 let outcome = done
                     .as_ref()
@@ -58,7 +58,7 @@
     }
 }
 
-fn call(
+fn parse(
     router: &Router,
     fleet: &Fleet,
     workspace: &Workspace,
@@ -77,7 +77,7 @@
     let deadline = caller::deadline(fleet, workspace, req, vm)?;
     let unique = uuid::Uuid::now_v7().simple().to_string();
     let request = format!("{vm}.{}.{unique}", router.node.incarnation);
-    let mut headers = passed_on(req);
+    let mut headers = forwarded_headers(req);
     headers.push(("x-workspace".into(), workspace.name.clone()));
     headers.push(("x-request-id".into(), request.clone()));
     let content = [method.as_bytes(), rest.as_bytes(), &body].concat();
@@ -105,60 +105,61 @@
     }
 }
 
-/// The caller's key; a route that is not idempotent needs one, since without it
-/// a caller that asks again after a lost answer would write twice.
+/// The caller's idempotency key. A route that is not idempotent requires one: without it, a caller
+/// that retries after a lost answer would write twice.
 fn key(req: &Request, class: Class, vm: &str) -> Result<Option<String>, Refusal> {
-    let key = req.headers().get(KEY).map(|v| v.to_str().unwrap_or_default().to_string());
+    let key = req.headers().get(KEY_HEADER).map(|v| v.to_str().unwrap_or_default().to_string());
     match key {
         None if class == Class::NonIdempotent => {
             let why = "this route may run only once: name the write in an Idempotency-Key header";
             Err(Refusal::refused(Cause::Bad, "parse", vm, why))
         }
-        Some(key) if key.is_empty() || key.len() > KEY_LENGTH => {
-            let why = format!("an Idempotency-Key has 1 to {KEY_LENGTH} visible ASCII characters");
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => {
+            let why =
+                format!("an Idempotency-Key has 1 to {MAX_KEY_BYTES} visible ASCII characters");
             Err(Refusal::refused(Cause::Bad, "parse", vm, why))
         }
         key => Ok(key),
     }
 }
 
-fn passed_on(req: &Request) -> Vec<(String, String)> {
+fn forwarded_headers(req: &Request) -> Vec<(String, String)> {
     req.headers()
         .iter()
         .filter(|(name, _)| {
-            !OWN.contains(&name.as_str()) && !name.as_str().starts_with("x-workspace")
+            !ROUTER_HEADERS.contains(&name.as_str()) && !name.as_str().starts_with("x-workspace")
         })
         .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_string())))
         .collect()
 }
 
-/// Asks agents of the service, one after the other, until one gives an answer that
-/// counts, the retry budget is used up or no time is left.
+/// Sends the call to agents of the service, one after the other, until one gives a final answer,
+/// the retry budget is used up or no time is left.
 async fn run(
     router: &Arc<Router>,
     call: Call,
     priority: u8,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    // Once an agent may have started the call, a later "not run" of another
-    // agent says nothing about the first.
+    // Once an agent may have started the call, a later refusal of another agent with outcome not
+    // run says nothing about the first.
     let mut maybe_run: Option<Refusal> = None;
-    let mut turn = router.admission.ask(want(&call, priority, until)).await;
+    let mut turn = router.admission.admit(requirements(&call, priority, deadline)).await;
     loop {
         let grant = match turn {
             Ok(grant) => grant,
-            Err(refusal) => return Err(in_doubt(maybe_run, refusal)),
+            Err(refusal) => return Err(final_refusal(maybe_run, refusal)),
         };
         let vm = grant.chain().first().and_then(|list| list.first()).cloned().unwrap_or_default();
-        let left = until.saturating_duration_since(Instant::now());
-        let asked = match router.view.find(&vm) {
-            Some(agent) => ask(router, &agent.place, &call, left).await,
+        let left = deadline.saturating_duration_since(Instant::now());
+        let answer = match router.view.find(&vm) {
+            Some(agent) => send_call(router, &agent.place, &call, left).await,
             None => {
                 let why = "the agent is no longer listed";
                 Err(Refusal::not_run(Cause::Unavailable, "choose", &vm, why))
             }
         };
-        let refusal = match asked {
+        let refusal = match answer {
             Ok(reply) => {
                 grant.succeeded();
                 return Ok(reply);
@@ -170,43 +171,43 @@
             Outcome::Refused => return Err(refusal),
             Outcome::NotRun => {}
             // The link was lost: the log decides whether the write may run.
-            Outcome::Unknown if refusal.step == LINK => maybe_run = Some(refusal.clone()),
+            Outcome::Unknown if refusal.step == LINK_STEP => maybe_run = Some(refusal.clone()),
             Outcome::Unknown if call.class == Class::NonIdempotent => return Err(refusal),
             Outcome::Unknown => maybe_run = Some(refusal.clone()),
         }
         router.node.metrics.retries.add(1, &[]);
-        let outcome = admission::certain(&refusal);
-        turn = grant.again(refusal, outcome).await;
+        let outcome = admission::retry_outcome(&refusal);
+        turn = grant.retry(refusal, outcome).await;
     }
 }
 
-fn want(call: &Call, priority: u8, until: Instant) -> Want {
+fn requirements(call: &Call, priority: u8, deadline: Instant) -> Requirements {
     let key = call.key.as_deref();
-    Want {
+    Requirements {
         target: Target::Service(call.service.clone()),
         workspace: call.workspace.clone(),
         priority,
         cost: Cost { prompt: 1, output: 1 },
-        until,
+        deadline,
         prefix: key.map(|key| policy::affinity::prefix(key, key.len())),
         keyed: key.is_some(),
     }
 }
 
-/// The refusal that the caller gets: of an earlier try that may have run, if there is one.
-fn in_doubt(maybe_run: Option<Refusal>, last: Refusal) -> Refusal {
+/// The refusal for the caller: that of an earlier try that may have run, if there is one.
+fn final_refusal(maybe_run: Option<Refusal>, last: Refusal) -> Refusal {
     let refusal = maybe_run.unwrap_or(last);
     match refusal.retry_after {
-        // The queue alone knows a request that will never fit, and says so by silence.
+        // Only the queue knows that a request will never fit; it then gives no time to retry.
         None if refusal.step != admission::STEP => refusal.after(BUSY_RETRY),
         _ => refusal,
     }
 }
 
-/// Step name of refusals that this router makes when the link to an agent is lost.
-const LINK: &str = "ask agent";
+/// Step name of refusals that this router makes if the link to an agent is lost.
+const LINK_STEP: &str = "ask agent";
 
-async fn ask(
+async fn send_call(
     router: &Arc<Router>,
     place: &Place,
     call: &Call,
@@ -218,22 +219,24 @@
         .connection(vm, address)
         .await
         .map_err(|e| Refusal::not_run(Cause::Unavailable, "connect", vm, e.to_string()))?;
-    let lost = |why: String| Refusal::unknown(Cause::Lost, LINK, vm, why);
-    // Without signs of life a call to an agent that has died would wait for its whole
-    // deadline, though another agent could settle it at once.
+    let lost = |why: String| Refusal::unknown(Cause::Lost, LINK_STEP, vm, why);
+    // Without the liveness check a call to an agent that has died would wait until its deadline,
+    // although another agent could answer it at once.
     let _wait = peers.register_wait(vm, address);
-    let asked = async {
+    let answer = async {
         let ask = Ask::Call(Call { deadline: left, ..call.clone() });
         let mut stream = wire::link::open(&connection, vm, &ask).await?;
         stream.finish();
         stream.expect::<Tell>().await
     };
-    match timeout(left, asked).await {
+    match timeout(left, answer).await {
         Ok(Ok(Tell::Reply(reply))) => Ok(reply),
         Ok(Ok(Tell::Refused(refusal))) => Err(refusal),
         Ok(Ok(_)) => Err(lost("unexpected frame".into())),
         Ok(Err(e)) => Err(lost(e.to_string())),
-        Err(_) => Err(Refusal::unknown(Cause::Deadline, LINK, vm, "no answer before the deadline")),
+        Err(_) => {
+            Err(Refusal::unknown(Cause::Deadline, LINK_STEP, vm, "no answer before the deadline"))
+        }
     }
 }
 
@@ -252,6 +255,6 @@
         headers.insert("idempotent-replayed", HeaderValue::from_static("true"));
     }
     if let Err(e) = res.write_body(reply.body) {
-        log::warn!("service: the answer can't be written: {e}");
+        log::warn!("service: could not write the response: {e}");
     }
 }
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -1,5 +1,5 @@
-//! The task that decides: it holds a [`Pool`] for each model and each plain service, and
-//! moves requests between their callers and the `policy` crate.
+//! The task that admits and places requests: it holds a [`Pool`] for each model and each plain
+//! service, and passes requests between their handlers and the `policy` crate.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,22 +20,24 @@
 use wire::frame::Report;
 use wire::refusal::{Cause, Refusal};
 
-use crate::admission::{self, Admission, Answer, Ended, Message, Slip, Started, Target, Wait};
+use crate::admission::{
+    self, Admission, Answer, EndReason, Job, Message, Pending, RunGuard, Target,
+};
 use crate::pool::{Pool, shares, table, targets};
 
-/// How often all queues are looked at, beside at each message: for deadlines, ramps
-/// and ejections that have run out, and matches held back for a better one.
-const TICK: Duration = Duration::from_millis(50);
+/// How often all queues are checked, besides after each message: for expired deadlines, ramps and
+/// ejections, and for requests held back for a better match.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause of a request that agents refused as often as the retry budget allows: about
-/// the time until each agent has reported again.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Pause of a request that agents refused as often as the retry budget allows: about the time
+/// until each agent has reported again.
+const OVER_BUDGET_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause before a request that has lost its head is offered again after a refusal.
+/// Pause before a request whose head is lost is offered again after a refusal.
 const RECOVERY_PAUSE: Duration = Duration::from_millis(30);
 
-/// Step at which an agent refuses a write that the log did not take. The log's rate is
-/// shared by the fleet: without this all agents of a service would be ejected for it.
+/// Step at which an agent refuses a write that the log did not accept. The fleet shares the log's
+/// rate: if such refusals counted as faults, all agents of a service would be ejected.
 const LOG_STEP: &str = "write";
 
 /// The task's state.
@@ -45,12 +47,12 @@
     start: Instant,
     rng: Pcg64,
     pools: Vec<Pool>,
-    /// Last report of each agent with its data centre, sorted by VM.
+    /// Data centre and last report of each agent, sorted by VM.
     reports: Vec<(String, Report)>,
     routers: u32,
 }
 
-/// Drives the queues until the router ends.
+/// Runs the task until the router ends.
 pub(crate) async fn run(
     node: Arc<Node>,
     admission: Admission,
@@ -66,17 +68,17 @@
         reports: Vec::new(),
         routers: 1,
     };
-    task.settings();
-    let mut tick = tokio::time::interval(TICK);
+    task.apply_settings();
+    let mut tick = tokio::time::interval(TICK_INTERVAL);
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         tokio::select! {
             message = rx.recv() => match message {
-                Some(message) => task.take(message),
+                Some(message) => task.handle(message),
                 None => return,
             },
             changed = settings.changed() => match changed {
-                Ok(()) => task.settings(),
+                Ok(()) => task.apply_settings(),
                 Err(_) => return,
             },
             _ = tick.tick() => task.tick(),
@@ -89,25 +91,27 @@
         self.start.elapsed()
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         match message {
-            Message::Ask(wait) => self.ask(wait),
-            Message::Recover(wait) => {
-                let target = wait.want.target.clone();
-                match self.pool(&target) {
-                    Some(i) => self.pools[i].recovering.push(Slip::Recovery(Box::new(wait))),
-                    None => self.unknown(wait),
+            Message::New(pending) => self.admit(pending),
+            Message::Recover(pending) => {
+                let target = pending.requirements.target.clone();
+                match self.pool_index(&target) {
+                    Some(i) => self.pools[i].recovering.push(Job::Recovery(Box::new(pending))),
+                    None => self.refuse_unknown(pending),
                 }
-                self.pump(&target);
+                self.dispatch(&target);
             }
             Message::Cancel(target, workspace, ticket) => {
-                if let Some(i) = self.pool(&target) {
+                if let Some(i) = self.pool_index(&target) {
                     self.pools[i].queue.cancel(&workspace, ticket);
                 }
             }
-            Message::End { slip, chain, held, ended } => self.end(slip, &chain, held, &ended),
-            Message::Again { slip, chain, refusal, outcome } => {
-                self.again(slip, &chain, refusal, outcome);
+            Message::End { job, chain, run_time, reason } => {
+                self.end(job, &chain, run_time, &reason)
+            }
+            Message::Retry { job, chain, refusal, outcome } => {
+                self.retry(job, &chain, refusal, outcome);
             }
             Message::Replicas(stage, reply) => {
                 let target = Target::Model(stage.model.clone());
@@ -116,7 +120,7 @@
                 let list = found.map(|p| p.replicas(stage, from, now, &mut self.rng));
                 let _ = reply.send(list.unwrap_or_default());
             }
-            Message::Report { data_centre, report } => self.report(data_centre, *report),
+            Message::Report { data_centre, report } => self.apply_report(data_centre, *report),
             Message::Down(vm) | Message::Unlisted(vm) => {
                 self.reports.retain(|r| r.1.vm != vm);
                 let now = self.now();
@@ -125,19 +129,19 @@
         }
     }
 
-    fn ask(&mut self, wait: Wait) {
-        let target = wait.want.target.clone();
-        let Some(i) = self.pool(&target) else { return self.unknown(wait) };
+    fn admit(&mut self, pending: Pending) {
+        let target = pending.requirements.target.clone();
+        let Some(i) = self.pool_index(&target) else { return self.refuse_unknown(pending) };
         let (now, routers) = (self.now(), self.routers);
         let pool = &mut self.pools[i];
         let room = pool.table.room(routers, now);
-        let reply = wait.reply.clone();
-        let left = wait.want.until.saturating_duration_since(Instant::now());
-        let ask = pool.ask(&wait, left, now);
-        match pool.queue.admit(ask, wait, room, now) {
-            Admit::Start(entry) => match self.start(i, Slip::Queued(Box::new(entry))) {
+        let reply = pending.reply.clone();
+        let left = pending.requirements.deadline.saturating_duration_since(Instant::now());
+        let request = pool.queue_request(&pending, left, now);
+        match pool.queue.admit(request, pending, room, now) {
+            Admit::Start(entry) => match self.start(i, Job::Queued(Box::new(entry))) {
                 None => {}
-                Some(slip) => self.put_back(i, slip),
+                Some(job) => self.requeue(i, job),
             },
             Admit::Wait(ticket) => {
                 let _ = reply.try_send(Answer::Waiting(ticket));
@@ -146,47 +150,47 @@
         }
     }
 
-    /// Starts a request on the best chain; gives it back when there is none now.
-    fn start(&mut self, i: usize, slip: Slip) -> Option<Slip> {
+    /// Starts a request on the best chain; returns it if there is no chain now.
+    fn start(&mut self, i: usize, job: Job) -> Option<Job> {
         let now = self.now();
         let pool = &mut self.pools[i];
-        let chain = pool.chain(&slip, &self.node.process.data_centre, now, &mut self.rng);
+        let chain = pool.chain(&job, &self.node.process.data_centre, now, &mut self.rng);
         let Some(chain) = chain else {
-            return Some(slip);
+            return Some(job);
         };
         chain.iter().for_each(|list| pool.table.started(&list[0], now));
-        let reply = slip.wait().reply.clone();
-        let started = Started::new(slip, chain, self.admission.sender());
-        // When the caller has gone, dropping what was started ends it.
+        let reply = job.pending().reply.clone();
+        let started = RunGuard::new(job, chain, self.admission.sender());
+        // If the caller has disconnected, dropping the guard ends the request.
         let _ = reply.try_send(Answer::Start(started));
         None
     }
 
-    fn put_back(&mut self, i: usize, slip: Slip) {
-        match slip {
-            Slip::Queued(entry) => {
+    fn requeue(&mut self, i: usize, job: Job) {
+        match job {
+            Job::Queued(entry) => {
                 let _ = entry.item.reply.try_send(Answer::Waiting(entry.ticket));
                 self.pools[i].queue.requeue(*entry);
             }
-            Slip::Recovery(_) => self.pools[i].recovering.push(slip),
+            Job::Recovery(_) => self.pools[i].recovering.push(job),
         }
     }
 
-    /// Starts all that may start, those in progress first.
-    fn pump(&mut self, target: &Target) {
-        let Some(i) = self.pool(target) else { return };
-        for slip in std::mem::take(&mut self.pools[i].recovering) {
-            let wait = slip.wait();
-            match wait.want.until <= Instant::now() {
+    /// Starts all requests that may start, those in progress first.
+    fn dispatch(&mut self, target: &Target) {
+        let Some(i) = self.pool_index(target) else { return };
+        for job in std::mem::take(&mut self.pools[i].recovering) {
+            let pending = job.pending();
+            match pending.requirements.deadline <= Instant::now() {
                 true => {
                     let why = "no backend server could go on with it before its deadline";
                     let vm = &self.node.process.vm;
                     let refusal = Refusal::not_run(Cause::Deadline, "recover", vm, why);
-                    let _ = wait.reply.try_send(Answer::Refused(refusal));
+                    let _ = pending.reply.try_send(Answer::Refused(refusal));
                 }
                 false => {
-                    if let Some(slip) = self.start(i, slip) {
-                        self.put_back(i, slip);
+                    if let Some(job) = self.start(i, job) {
+                        self.requeue(i, job);
                     }
                 }
             }
@@ -196,100 +200,102 @@
             let pool = &mut self.pools[i];
             let room = pool.table.room(routers, now);
             let table = &pool.table;
-            let likes = |w: &Wait| w.want.prefix.map_or(0, |p| table.cached_ranges(p, now));
-            let Some(entry) = pool.queue.next_by(room, now, likes) else { break };
-            if let Some(slip) = self.start(i, Slip::Queued(Box::new(entry))) {
-                self.put_back(i, slip);
+            let cached_ranges = |p: &Pending| {
+                p.requirements.prefix.map_or(0, |prefix| table.cached_ranges(prefix, now))
+            };
+            let Some(entry) = pool.queue.next_by(room, now, cached_ranges) else { break };
+            if let Some(job) = self.start(i, Job::Queued(Box::new(entry))) {
+                self.requeue(i, job);
                 break;
             }
         }
     }
 
-    fn end(&mut self, slip: Slip, chain: &Chain, held: Duration, ended: &Ended) {
+    fn end(&mut self, job: Job, chain: &Chain, run_time: Duration, reason: &EndReason) {
         let now = self.now();
-        let target = slip.wait().want.target.clone();
-        let Some(i) = self.pool(&target) else { return };
+        let target = job.pending().requirements.target.clone();
+        let Some(i) = self.pool_index(&target) else { return };
         let pool = &mut self.pools[i];
         for vm in chain.iter().filter_map(|list| list.first()) {
-            let end = match ended {
-                Ended::Well => End::Succeeded,
-                Ended::Fault(at) if at == vm => End::Failed,
+            let end = match reason {
+                EndReason::Succeeded => End::Succeeded,
+                EndReason::Fault(at) if at == vm => End::Failed,
                 _ => End::Neutral,
             };
             if pool.table.ended(vm, end, now) {
-                log::warn!("pool: {vm} fails and gets no work for a while");
+                log::warn!("pool: {vm} ejected for a while: its requests fail");
             }
         }
-        if *ended == Ended::Well {
+        if *reason == EndReason::Succeeded {
             pool.budget.succeeded();
         }
-        match slip {
-            Slip::Queued(entry) => pool.queue.done(&entry.request, held),
-            Slip::Recovery(_) => {}
+        match job {
+            Job::Queued(entry) => pool.queue.done(&entry.request, run_time),
+            Job::Recovery(_) => {}
         }
-        self.pump(&target);
+        self.dispatch(&target);
     }
 
-    /// A try has failed: the agents that refused are noted, and the request goes back to
-    /// its place in the queue, now or after a pause, as long as budget and deadline allow.
-    fn again(&mut self, mut slip: Slip, chain: &Chain, failed: Refusal, outcome: retry::Outcome) {
+    /// Records which agents refused a try, and returns the request to its place in the queue, now
+    /// or after a pause, if retry budget and deadline allow.
+    fn retry(&mut self, mut job: Job, chain: &Chain, failed: Refusal, outcome: retry::Outcome) {
         let now = self.now();
-        let target = slip.wait().want.target.clone();
-        let Some(i) = self.pool(&target) else { return };
+        let target = job.pending().requirements.target.clone();
+        let Some(i) = self.pool_index(&target) else { return };
         let pool = &mut self.pools[i];
         let busy = matches!(failed.cause, Cause::Busy | Cause::Leaving);
         let blamed = !busy && failed.step != LOG_STEP;
-        pool.tried(chain, &failed.peer, (busy, blamed), now);
-        let wait = slip.wait_mut();
-        wait.tries += 1;
-        if blamed && !wait.avoid.contains(&failed.peer) {
-            wait.avoid.push(failed.peer.clone());
+        pool.record_refusal(chain, &failed.peer, (busy, blamed), now);
+        let pending = job.pending_mut();
+        pending.tries += 1;
+        if blamed && !pending.avoid.contains(&failed.peer) {
+            pending.avoid.push(failed.peer.clone());
         }
-        let tries = wait.tries;
-        let entry = match slip {
-            Slip::Recovery(_) => {
-                pool.paused.push((now + RECOVERY_PAUSE, slip));
+        let tries = pending.tries;
+        let entry = match job {
+            Job::Recovery(_) => {
+                pool.paused.push((now + RECOVERY_PAUSE, job));
                 return;
             }
-            Slip::Queued(entry) => entry,
+            Job::Queued(entry) => entry,
         };
-        let waits = busy || blamed && outcome == retry::Outcome::NotRun;
+        let keeps_waiting = busy || blamed && outcome == retry::Outcome::NotRun;
         let (run, deadline) = (entry.request.run, entry.request.deadline);
         let failure = retry::Failure { outcome, tries, run, deadline };
         let pause = match pool.budget.decide(&failure, now, &mut self.rng) {
-            // The agent that refused counts as full until it says otherwise, so the next
-            // try goes elsewhere or waits for a slot: a pause would only leave it idle.
+            // The agent that refused counts as full until its next report, so the next try goes
+            // elsewhere or waits for a slot: a pause would only leave free slots unused.
             Retry::After(_) if busy => Duration::ZERO,
-            Retry::After(wait) => wait.max(failed.retry_after.unwrap_or_default()),
-            // It was not run: it waits at its place until the agents have reported again, and
-            // is refused when its deadline can't be met any more.
-            Retry::Stop(Stop::Tries | Stop::Budget) if waits => PAUSE,
-            Retry::Stop(stop) => return self.give_up(i, *entry, failed, stop),
+            Retry::After(pause) => pause.max(failed.retry_after.unwrap_or_default()),
+            // It did not run: it keeps its place until the agents have reported again, and is
+            // refused once its deadline can no longer be met.
+            Retry::Stop(Stop::Tries | Stop::Budget) if keeps_waiting => OVER_BUDGET_PAUSE,
+            Retry::Stop(stop) => return self.refuse_failed(i, *entry, failed, stop),
         };
-        pool.paused.push((now + pause, Slip::Queued(entry)));
+        pool.paused.push((now + pause, Job::Queued(entry)));
         if pause.is_zero() {
             self.resume(i);
-            self.pump(&target);
+            self.dispatch(&target);
         }
     }
 
-    fn give_up(&mut self, i: usize, entry: Entry<Wait>, failed: Refusal, stop: Stop) {
+    fn refuse_failed(&mut self, i: usize, entry: Entry<Pending>, failed: Refusal, stop: Stop) {
         self.pools[i].queue.done(&entry.request, Duration::ZERO);
         let why = format!("{}; {stop}", failed.reason);
         let after =
             failed.retry_after.unwrap_or(refusal::MIN_RETRY_AFTER).max(refusal::MIN_RETRY_AFTER);
         let refusal = Refusal { reason: why, ..failed }.after(after);
-        self.count(&refusal);
+        self.count_refusal(&refusal);
         let _ = entry.item.reply.try_send(Answer::Refused(refusal));
     }
 
-    /// Puts back what has paused long enough.
+    /// Requeues the requests whose pause has ended.
     fn resume(&mut self, i: usize) {
         let now = self.now();
         let paused = std::mem::take(&mut self.pools[i].paused);
         let (due, later) = paused.into_iter().partition(|p| p.0 <= now);
         self.pools[i].paused = later;
-        due_slips(due).for_each(|slip| self.put_back(i, slip));
+        due_jobs(due).for_each(|job| self.requeue(i, job));
     }
 
     fn tick(&mut self) {
@@ -298,7 +304,7 @@
         for i in 0..self.pools.len() {
             self.resume(i);
             let target = self.pools[i].target.clone();
-            self.pump(&target);
+            self.dispatch(&target);
             let (now, routers) = (self.now(), self.routers);
             let pool = &mut self.pools[i];
             let room = pool.table.room(routers, now);
@@ -306,11 +312,11 @@
                 self.refuse(&entry.item.reply, refused);
             }
         }
-        self.admission.note_running(self.pools.iter().map(|p| p.queue.running()).sum());
-        self.show();
+        self.admission.set_running(self.pools.iter().map(|p| p.queue.running()).sum());
+        self.record_gauges();
     }
 
-    fn show(&self) {
+    fn record_gauges(&self) {
         let now = self.now();
         for pool in &self.pools {
             let ejected =
@@ -326,7 +332,7 @@
         }
     }
 
-    fn report(&mut self, data_centre: String, report: Report) {
+    fn apply_report(&mut self, data_centre: String, report: Report) {
         match self.reports.binary_search_by(|r| r.1.vm.cmp(&report.vm)) {
             Ok(at) => self.reports[at] = (data_centre, report.clone()),
             Err(at) => self.reports.insert(at, (data_centre, report.clone())),
@@ -335,16 +341,16 @@
         for i in 0..self.pools.len() {
             let at = self.reports.binary_search_by(|r| r.1.vm.cmp(&report.vm));
             if let Ok(at) = at
-                && self.pools[i].report(&self.reports[at], now)
+                && self.pools[i].apply_report(&self.reports[at], now)
             {
                 let target = self.pools[i].target.clone();
-                self.pump(&target);
+                self.dispatch(&target);
             }
         }
     }
 
-    /// Takes over new settings: shares, models and services.
-    fn settings(&mut self) {
+    /// Applies new settings: shares, models and services.
+    fn apply_settings(&mut self) {
         let fleet = self.node.settings.borrow().fleet.clone();
         let mut old = std::mem::take(&mut self.pools);
         let now = self.now();
@@ -355,44 +361,44 @@
                 None => Pool::new(target, model.clone()),
             };
             if pool.model != model {
-                // Another version or other ranges: what is known of the agents starts anew.
+                // The version or the ranges differ: what is known of the agents no longer applies.
                 pool.table = table(model.as_ref());
                 pool.vms.clear();
                 pool.model = model;
             }
             pool.queue.set_shares(shares(&fleet));
             for report in &self.reports {
-                pool.report(report, now);
+                pool.apply_report(report, now);
             }
             self.pools.push(pool);
         }
         for pool in old {
-            log::info!("pool: {} is no longer in the settings", pool.name());
+            log::info!("pool: {} removed: no longer in the settings", pool.name());
         }
     }
 
-    fn pool(&self, target: &Target) -> Option<usize> {
+    fn pool_index(&self, target: &Target) -> Option<usize> {
         self.pools.iter().position(|p| p.target == *target)
     }
 
-    fn unknown(&self, wait: Wait) {
+    fn refuse_unknown(&self, pending: Pending) {
         let vm = &self.node.process.vm;
         let why = "the settings have no such model or service";
         let refusal = Refusal::refused(Cause::NotFound, "queue", vm, why);
-        let _ = wait.reply.try_send(Answer::Refused(refusal));
+        let _ = pending.reply.try_send(Answer::Refused(refusal));
     }
 
     fn refuse(&self, reply: &mpsc::Sender<Answer>, refused: refusal::Refusal) {
         let refusal = admission::refusal(&self.node.process.vm, refused);
-        self.count(&refusal);
+        self.count_refusal(&refusal);
         let _ = reply.try_send(Answer::Refused(refusal));
     }
 
-    fn count(&self, refusal: &Refusal) {
+    fn count_refusal(&self, refusal: &Refusal) {
         self.node.metrics.count_refusal(&refusal.cause.to_string());
     }
 }
 
-fn due_slips(due: Vec<(Duration, Slip)>) -> impl Iterator<Item = Slip> {
+fn due_jobs(due: Vec<(Duration, Job)>) -> impl Iterator<Item = Job> {
     due.into_iter().map(|d| d.1)
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,6 +1,5 @@
-//! The agents as this router sees them: what each last reported. A hint that makes
-//! refusals rare; the agents decide. What this router has sent them since is known to
-//! `task`, which is told of each report.
+//! The router's view of the agents: the last report of each. The view only makes refusals rare; the
+//! agents decide. `task` counts what this router has sent them since, and receives each report.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -14,17 +13,17 @@
 
 use crate::admission::{Admission, Message};
 
-/// Pause before an agent is connected to again.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Pause before connecting to an agent again.
+const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
 
-/// Report intervals of silence after which an agent counts as down.
-const SILENCE: u32 = 4;
+/// Number of report intervals without a report after which an agent counts as down.
+const MAX_SILENT_INTERVALS: u32 = 4;
 
-/// Least silence after which an agent counts as down, so that a short report
-/// interval does not make a busy machine look like a lost VM.
-const LEAST_SILENCE: Duration = Duration::from_secs(1);
+/// Shortest time without a report after which an agent counts as down, so that with a short report
+/// interval a busy machine is not treated as a lost VM.
+const MIN_SILENCE: Duration = Duration::from_secs(1);
 
-/// One agent.
+/// One agent, as last reported.
 #[derive(Debug, Clone)]
 pub struct Agent {
     /// Its name and address.
@@ -33,11 +32,11 @@
     pub data_centre: String,
     /// Its last report; `None` while it can't be reached.
     pub report: Option<Report>,
-    /// True when the VM list or the agent itself says that it is leaving.
+    /// True if the VM list or the agent itself says that it is leaving.
     pub leaving: bool,
 }
 
-/// All agents.
+/// All agents of the VM list.
 #[derive(Debug)]
 pub struct View {
     /// Sorted by VM.
@@ -46,30 +45,30 @@
 }
 
 impl View {
-    /// All agents that can take new work.
+    /// All agents that accept new work.
     pub fn usable(&self) -> Vec<Agent> {
         let agents = self.agents.lock().expect("no panic while held");
         agents.iter().filter(|a| a.report.is_some() && !a.leaving).cloned().collect()
     }
 
-    /// True when no agent can take new work.
+    /// True if no agent accepts new work.
     pub fn none_usable(&self) -> bool {
         self.usable().is_empty()
     }
 
-    /// One agent, also when it is leaving or down.
+    /// One agent, even if it is leaving or down.
     pub fn find(&self, vm: &str) -> Option<Agent> {
         let agents = self.agents.lock().expect("no panic while held");
         let i = agents.binary_search_by(|a| a.place.vm.as_str().cmp(vm)).ok()?;
         Some(agents[i].clone())
     }
 
-    /// True when an agent can't be reached now.
-    pub fn down(&self, vm: &str) -> bool {
+    /// True if an agent can't be reached now.
+    pub fn is_down(&self, vm: &str) -> bool {
         self.find(vm).is_none_or(|a| a.report.is_none())
     }
 
-    /// A chain in the words of the links. VMs that were unlisted meanwhile are left out.
+    /// Converts a chain for the link protocol. VMs that are no longer listed are left out.
     pub fn hops(&self, model: &Model, chain: &[Vec<id::Vm>]) -> Vec<Hop> {
         let hop = |(&(first, last), list): (&(u32, u32), &Vec<id::Vm>)| Hop {
             stage: Stage { model: model.name.clone(), version: model.version, first, last },
@@ -85,15 +84,15 @@
         }
     }
 
-    /// Takes over the VM list; returns the agents that are new in it.
-    fn listed(&self, list: &[vm::Entry]) -> Vec<Place> {
+    /// Applies the VM list; returns the agents that are new in it.
+    fn apply_list(&self, list: &[vm::Entry]) -> Vec<Place> {
         let mut agents = self.agents.lock().expect("no panic while held");
         let mut new = Vec::new();
         let same = |a: &Agent, e: &vm::Entry| e.vm == a.place.vm && e.address == a.place.address;
         agents.retain(|a| {
             let listed = list.iter().any(|e| same(a, e));
             if !listed {
-                self.admission.tell(Message::Unlisted(a.place.vm.clone()));
+                self.admission.send(Message::Unlisted(a.place.vm.clone()));
             }
             listed
         });
@@ -101,8 +100,8 @@
             let leaving = entry.state == vm::State::Leaving;
             match agents.binary_search_by(|a| a.place.vm.cmp(&entry.vm)) {
                 Ok(i) => {
-                    let told = agents[i].report.as_ref().is_some_and(|r| r.leaving);
-                    agents[i].leaving = leaving || told;
+                    let reported = agents[i].report.as_ref().is_some_and(|r| r.leaving);
+                    agents[i].leaving = leaving || reported;
                 }
                 Err(i) => {
                     let place = Place { vm: entry.vm.clone(), address: entry.address.clone() };
@@ -115,7 +114,7 @@
         new
     }
 
-    fn reported(&self, mut report: Report, listed_leaving: bool) {
+    fn apply_report(&self, mut report: Report, listed_leaving: bool) {
         let vm = report.vm.clone();
         report.leaving |= listed_leaving;
         let mut data_centre = String::new();
@@ -124,7 +123,7 @@
             a.report = Some(report.clone());
             data_centre = a.data_centre.clone();
         });
-        self.admission.tell(Message::Report { data_centre, report: Box::new(report) });
+        self.admission.send(Message::Report { data_centre, report: Box::new(report) });
     }
 }
 
@@ -140,7 +139,7 @@
     loop {
         let list = vms.borrow_and_update().clone();
         node.peers.retain(&list);
-        for place in view.listed(&list) {
+        for place in view.apply_list(&list) {
             tokio::spawn(follow_agent(node.clone(), view.clone(), place));
         }
         if vms.changed().await.is_err() {
@@ -163,15 +162,15 @@
             Err(e) => log::debug!("view: {e}"),
         }
         view.change(&place.vm, |a| a.report = None);
-        view.admission.tell(Message::Down(place.vm.clone()));
-        tokio::time::sleep(PAUSE).await;
+        view.admission.send(Message::Down(place.vm.clone()));
+        tokio::time::sleep(RECONNECT_PAUSE).await;
     }
 }
 
 async fn read_reports(node: &Node, view: &View, stream: &mut wire::link::Stream) -> String {
     loop {
         let interval = node.settings.borrow().fleet.defaults.report_interval;
-        let silence = (interval * SILENCE).max(LEAST_SILENCE);
+        let silence = (interval * MAX_SILENT_INTERVALS).max(MIN_SILENCE);
         match timeout(silence, stream.expect()).await {
             Ok(Ok(Tell::Report(report))) => {
                 let listed = node
@@ -180,7 +179,7 @@
                     .iter()
                     .any(|e| e.vm == report.vm && e.state == vm::State::Leaving);
                 node.quarantine.merge_report(&report.suspects, &report.quarantined);
-                view.reported(*report, listed);
+                view.apply_report(*report, listed);
             }
             Ok(Ok(_)) => return "unexpected frame".into(),
             Ok(Err(e)) => return e.to_string(),
