--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -1,5 +1,5 @@
-//! What callers get from a router with a small fleet behind it: whole answers,
-//! and clear errors for what can't be answered.
+//! Answers of a router with a small fleet: whole answers, and clear errors for requests that can't
+//! be answered.
 
 mod work;
 
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use work::{Fleet, STADIUM, WINERY, header, post, until};
+use work::{Fleet, STADIUM, WINERY, header, post, wait_until};
 
 const PROMPT: &str = "a label for a dry red wine";
 
@@ -102,8 +102,8 @@
     ]
 }
 
-/// A caller sends what can't be answered. It gets a refusal that says what to
-/// change, the router goes on, and nothing is run.
+/// A request that can't be answered is refused with the fault to correct. The router keeps serving,
+/// and nothing is run.
 #[tokio::test]
 async fn bad_input_gets_a_clear_error() {
     let fleet = Fleet::start().await;
@@ -120,8 +120,8 @@
     }
 }
 
-/// A caller, or somebody who means ill, sends far too many header lines. Without
-/// a limit the router's memory would go to one connection.
+/// A client sends far too many header lines. Without a limit one connection could use up the router's
+/// memory.
 #[tokio::test]
 async fn a_header_flood_is_refused() {
     let fleet = Fleet::start().await;
@@ -139,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn a_draft_comes_whole_and_equal_to_the_straight_one() {
+async fn a_draft_is_answered_whole_with_the_expected_tokens() {
     let fleet = Fleet::start().await;
     let client = fleet.client();
     let body = format!(r#"{{"model":"draft","prompt":"{PROMPT}","max_tokens":40}}"#);
@@ -148,8 +148,8 @@
     assert_eq!(body["choices"][0]["text"], straight(40));
 }
 
-/// Operators read what callers got from the metrics; a name that is on their page and
-/// never counted would tell them that all is well.
+/// Operators read from the metrics how requests ended. A metric that is documented but never counted
+/// would hide failures.
 #[tokio::test]
 async fn the_metrics_count_what_callers_got() {
     let fleet = Fleet::start().await;
@@ -165,8 +165,8 @@
     assert_eq!([counted("kind=\"draft\""), counted("kind=\"call\"")], [1, 1], "{text}");
 }
 
-/// Another workspace guesses or finds a request id. It must learn nothing, not
-/// even that the request exists.
+/// Another workspace uses a request id that it guessed or found. The answer must not even show that
+/// the request exists.
 #[tokio::test]
 async fn another_workspace_does_not_get_a_request() {
     let fleet = Fleet::start().await;
@@ -182,12 +182,12 @@
     }
 }
 
-/// A caller reads slowly: the tokens wait for it, in the router's bounded queue
-/// and at the head, and it still gets every one.
+/// A caller reads slowly. Tokens wait in the router's bounded queue and at the head, and the caller
+/// receives all of them.
 #[tokio::test]
 async fn a_slow_reader_gets_the_whole_answer() {
     let fleet = Fleet::start().await;
-    let mut stream = ask_for_stream(&fleet, 120).await;
+    let mut stream = request_stream(&fleet, 120).await;
     let mut raw = Vec::new();
     let mut part = vec![0; 512];
     loop {
@@ -209,24 +209,24 @@
     assert_eq!(ids, expected.iter().map(|t| t.id).collect::<Vec<_>>());
 }
 
-/// A caller closes its connection in the middle of the stream. If the draft ran
-/// on, slots would be taken by work that nobody reads.
+/// A caller closes its connection in the middle of the stream. If the draft kept running, it would
+/// hold slots for an answer that nobody reads.
 #[tokio::test]
-async fn a_caller_that_goes_frees_its_slots() {
+async fn a_caller_that_disconnects_frees_its_slots() {
     let fleet = Fleet::start().await;
-    let mut stream = ask_for_stream(&fleet, 200).await;
+    let mut stream = request_stream(&fleet, 200).await;
     let mut part = vec![0; 256];
     let n = stream.read(&mut part).await.unwrap();
     assert!(n > 0);
     drop(stream);
-    until("no session is left at the engine", async || fleet.sessions().await == 0).await;
+    wait_until("no session is left at the engine", async || fleet.sessions().await == 0).await;
 }
 
 async fn connect(fleet: &Fleet) -> TcpStream {
     TcpStream::connect(fleet.router.trim_start_matches("http://")).await.unwrap()
 }
 
-async fn ask_for_stream(fleet: &Fleet, tokens: u32) -> TcpStream {
+async fn request_stream(fleet: &Fleet, tokens: u32) -> TcpStream {
     let body =
         format!(r#"{{"model":"draft","prompt":"{PROMPT}","max_tokens":{tokens},"stream":true}}"#);
     let mut stream = connect(fleet).await;
--- a/crates/router/tests/starting.rs
+++ b/crates/router/tests/starting.rs
@@ -1,4 +1,4 @@
-//! A router that has just started and knows nothing of the fleet yet.
+//! Answers of a router that has just started and has no settings yet.
 
 mod work;
 
@@ -25,12 +25,12 @@
     ]
 }
 
-/// A router is restarted while the log is out, so it has no settings and knows no
-/// workspaces. If it answered 401 or 404 to a valid key, callers would take that for
-/// the last word; they have to be told that nothing ran and when to come back.
+/// A router that is restarted while the log is unavailable has no settings and knows no workspaces.
+/// If it answered 401 or 404 to a valid key, callers would not retry. It has to answer that nothing
+/// ran and when to retry.
 #[tokio::test]
-async fn a_router_without_settings_sends_callers_away_honestly() {
-    let lone = work::Lone::start().await;
+async fn a_router_without_settings_answers_not_run_with_a_time_to_retry() {
+    let lone = work::LoneRouter::start().await;
     let client = rest::Client::new(&lone.router, Duration::from_secs(20));
     for case in cases() {
         let bearer = header("authorization", &format!("Bearer {WINERY}"));
--- a/crates/router/tests/work/mod.rs
+++ b/crates/router/tests/work/mod.rs
@@ -1,4 +1,5 @@
-//! A whole small fleet in one process: stand-ins, two agents and a router.
+//! A small fleet in one process: stand-ins of the platform and the backend servers, two agents and
+//! a router.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -14,8 +15,8 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use serde_json::Value;
 
-/// Looks for a condition at most, 20 ms apart.
-const LOOKS: u32 = 500;
+/// Number of checks of a condition, 20 ms apart, before a test fails.
+const MAX_CHECKS: u32 = 500;
 
 /// Bearer key of the workspace `winery`.
 pub const WINERY: &str = "winery-key";
@@ -23,7 +24,7 @@
 /// Bearer key of the workspace `stadium`.
 pub const STADIUM: &str = "stadium-key";
 
-static FLEETS: AtomicU8 = AtomicU8::new(0);
+static FLEET_COUNT: AtomicU8 = AtomicU8::new(0);
 
 pub struct Fleet {
     folder: PathBuf,
@@ -33,9 +34,9 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until the router is ready.
+    /// Starts all processes and waits until the fleet serves drafts and orders.
     pub async fn start() -> Fleet {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("fleet-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
@@ -43,16 +44,16 @@
         certificates(&folder, &names);
 
         let log = fake::log::Options { rate: 400, retain: 1000 };
-        let log = fake::log::start(any(), log).unwrap();
-        let vms = fake::vms::start(any(), fake::vms::Options { lag_ms: 0 }).unwrap();
-        let engine = fake::engine::start(any(), engine_options()).unwrap();
+        let log = fake::log::start(bind_any_port(), log).unwrap();
+        let vms = fake::vms::start(bind_any_port(), fake::vms::Options { lag_ms: 0 }).unwrap();
+        let engine = fake::engine::start(bind_any_port(), engine_options()).unwrap();
         let service = fake::service::Options { delay_ms: 0, ledger: None };
-        let service = fake::service::start(any(), service).unwrap();
+        let service = fake::service::start(bind_any_port(), service).unwrap();
         publish(&log.url()).await;
 
         let processes = processes(&folder, number, [&log, &vms, &engine, &service]);
         for process in &processes {
-            list(&vms.url(), process).await;
+            list_vm(&vms.url(), process).await;
         }
         let [entry, gpu, desk] = processes;
         let router = format!("http://{}", entry.http);
@@ -71,7 +72,7 @@
         rest::Client::new(&self.router, Duration::from_secs(20))
     }
 
-    /// Sessions open at the engine.
+    /// Number of sessions open at the engine.
     pub async fn sessions(&self) -> usize {
         let http = rest::Client::new(&self.engine.url(), Duration::from_secs(5));
         let load: engine::Load = http.get("/v1/load").await.unwrap();
@@ -80,13 +81,13 @@
 
     async fn ready(&self) {
         let client = self.client();
-        until("the router listens", async || {
+        wait_until("the router listens", async || {
             client.send("GET", "/livez", &[], Default::default()).await.is_ok()
         })
         .await;
         let draft = r#"{"model":"draft","prompt":"ready","max_tokens":1}"#;
         let order = [header("idempotency-key", "ready")];
-        until("the fleet serves drafts and orders", async || {
+        wait_until("the fleet serves drafts and orders", async || {
             post(&client, "/v1/completions", WINERY, &[], draft).await.status == 200
                 && post(&client, "/orders/orders", WINERY, &order, "{}").await.status == 201
         })
@@ -100,23 +101,24 @@
     }
 }
 
-/// A router alone, with a log service that is out.
-pub struct Lone {
+/// A router without agents, whose log service is unavailable.
+pub struct LoneRouter {
     folder: PathBuf,
     pub router: String,
     _parts: Vec<Server>,
 }
 
-impl Lone {
-    /// Starts it and waits until it listens.
-    pub async fn start() -> Lone {
-        let number = FLEETS.fetch_add(1, Ordering::Relaxed);
+impl LoneRouter {
+    /// Starts the router and waits until it listens.
+    pub async fn start() -> LoneRouter {
+        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("lone-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         certificates(&folder, &["entry-1"]);
-        let log = fake::log::start(any(), fake::log::Options { rate: 400, retain: 10 }).unwrap();
-        let vms = fake::vms::start(any(), fake::vms::Options { lag_ms: 0 }).unwrap();
+        let log = fake::log::start(bind_any_port(), fake::log::Options { rate: 400, retain: 10 })
+            .unwrap();
+        let vms = fake::vms::start(bind_any_port(), fake::vms::Options { lag_ms: 0 }).unwrap();
         let outage = fake::log::Fault { outage: Some(true), ..Default::default() };
         let control = rest::Client::new(&log.url(), Duration::from_secs(5));
         let _: Value = control.post("/~fake/control", &outage).await.unwrap();
@@ -124,36 +126,36 @@
         let router = format!("http://{}", entry.http);
         tokio::spawn(router::run(entry));
         let client = rest::Client::new(&router, Duration::from_secs(5));
-        until("the router listens", async || {
+        wait_until("the router listens", async || {
             client.send("GET", "/livez", &[], Default::default()).await.is_ok()
         })
         .await;
-        Lone { folder, router, _parts: vec![log, vms] }
+        LoneRouter { folder, router, _parts: vec![log, vms] }
     }
 }
 
-impl Drop for Lone {
+impl Drop for LoneRouter {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Waits for a condition; a test that never sees it fails with its name.
-pub async fn until(name: &str, holds: impl AsyncFn() -> bool) {
-    for _ in 0..LOOKS {
-        if holds().await {
+/// Waits for a condition, and panics with its name if it does not become true.
+pub async fn wait_until(name: &str, condition: impl AsyncFn() -> bool) {
+    for _ in 0..MAX_CHECKS {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("never seen: {name}");
+    panic!("condition not met: {name}");
 }
 
 pub fn header(name: &str, value: &str) -> (String, String) {
     (name.to_string(), value.to_string())
 }
 
-/// Posts a body with a workspace's key.
+/// Sends a body by POST with a workspace's bearer key.
 pub async fn post(
     client: &rest::Client,
     path: &str,
@@ -166,7 +168,7 @@
     client.send("POST", path, &headers, body.into().into()).await.unwrap()
 }
 
-fn any() -> tokio::net::TcpListener {
+fn bind_any_port() -> tokio::net::TcpListener {
     serve::bind(SocketAddr::from(([127, 0, 0, 1], 0))).unwrap()
 }
 
@@ -214,12 +216,12 @@
     log.append(config::change::STREAM, &data).await.unwrap();
 }
 
-/// Each VM has its own loopback address, as the VMs of a deployment have theirs.
+/// Each VM has its own loopback address, as in a deployment.
 fn processes(folder: &std::path::Path, number: u8, parts: [&Server; 4]) -> [Process; 3] {
     let [log, vms, engine, service] = parts;
     let process = |i: u8, vm: &str, backend: Option<(Kind, &Server)>| {
         let pid = std::process::id();
-        // Above the addresses that scenarios take.
+        // Above the addresses that scenarios use.
         let net = (220 + (pid % 30) as u8, (pid / 30 % 250) as u8);
         let ip = Ipv4Addr::new(127, net.0, net.1, number * 8 + i);
         Process {
@@ -244,7 +246,7 @@
     ]
 }
 
-async fn list(vms: &str, process: &Process) {
+async fn list_vm(vms: &str, process: &Process) {
     let entry = Entry {
         vm: process.vm.clone(),
         role: if process.backend.is_some() { Role::Agent } else { Role::Router },
