--- a/crates/cloud/src/lib.rs
+++ b/crates/cloud/src/lib.rs
@@ -1,5 +1,5 @@
-//! The protocols spoken to the platform: the append-only log service, the VM
-//! list and the weight store. No other crate knows their paths and JSON shapes.
+//! Clients of the platform's services: the append-only log, the VM list and the weight store. Their
+//! paths and JSON formats are defined in this crate only.
 
 pub mod log;
 pub mod vm;
--- a/crates/cloud/src/vm.rs
+++ b/crates/cloud/src/vm.rs
@@ -1,10 +1,10 @@
-//! The platform's VM list. It lags: a VM may be listed as live when it is gone.
+//! The platform's VM list. It lags: a VM that is gone may still be listed as live.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// HTTP status of a list that has not changed.
+/// HTTP status of the answer if the list has not changed.
 const NOT_MODIFIED: u16 = 304;
 
 /// Name of a VM, usable as a DNS label.
@@ -17,19 +17,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry VM.
+    /// A router, on an entry VM.
     Router,
-    /// A backend server's VM.
+    /// An agent, on a backend server's VM.
     Agent,
 }
 
-/// What the platform says of the VM.
+/// State of a VM, as listed by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In service.
     Live,
-    /// Going away: no new work.
+    /// To be removed: gets no new work.
     Leaving,
 }
 
@@ -42,18 +42,18 @@
     pub role: Role,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// IP and UDP port of the process of the system on it.
+    /// IP address and UDP port of the process on it.
     pub address: String,
     /// Live or leaving.
     pub state: State,
 }
 
-/// The list with the tag by which the service knows this state of it.
+/// The list with the service's tag of this state of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct List {
     /// All VMs, in order of name.
     pub entries: Vec<Entry>,
-    /// The service's `ETag`; empty when it gives none.
+    /// The service's `ETag`; empty if it sends none.
     pub tag: String,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Client {
-    /// A client for the list at `base`, giving up on each call after `timeout`.
+    /// Creates a client of the list at `base`; each call fails after `timeout`.
     ///
     /// ```
     /// cloud::vm::Client::new("http://127.0.0.1:9001", std::time::Duration::from_secs(2));
@@ -73,13 +73,13 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// All VMs listed, in order of name.
+    /// Reads all listed VMs, in order of name.
     pub async fn list(&self) -> Result<Vec<Entry>, rest::Error> {
         self.http.get("/v1/vms").await
     }
 
-    /// The list when its tag is no longer `tag`, else `None`. A service without
-    /// tags sends the whole list each time.
+    /// Reads the list if its tag is no longer `tag`; returns `None` otherwise. A service without tags
+    /// sends the whole list each time.
     pub async fn changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
         let known = [("if-none-match".to_string(), tag.to_string())];
         let headers = if tag.is_empty() { &[][..] } else { &known[..] };
--- a/crates/cloud/src/weight.rs
+++ b/crates/cloud/src/weight.rs
@@ -1,4 +1,4 @@
-//! The weight store: layers of a model, handed out at a limited rate.
+//! The weight store: serves the layers of a model at a limited rate.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     pub version: u32,
     /// Number of the layer.
     pub layer: u32,
-    /// Stand-in for the content: mixed into what the layer computes.
+    /// Stand-in for the content: an input to what the layer computes.
     pub seed: u64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Client {
-    /// A client for the store at `base`, giving up on each call after `timeout`.
+    /// Creates a client of the store at `base`; each call fails after `timeout`.
     ///
     /// ```
     /// cloud::weight::Client::new("http://127.0.0.1:9002", std::time::Duration::from_secs(2));
@@ -33,7 +33,7 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// Weights of one layer. 429 when over the store's rate.
+    /// Reads the weights of one layer. Fails with status 429 above the store's rate.
     pub async fn fetch(&self, model: &str, version: u32, layer: u32) -> Result<Layer, rest::Error> {
         self.http.get(&format!("/v1/weights/{model}/{version}/{layer}")).await
     }
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -1,8 +1,7 @@
-//! JSON over HTTP/1.1 towards the platform and the backend servers.
+//! A client for JSON over HTTP/1.1, used for the platform and the backend servers.
 //!
-//! One client is shared by a process; it keeps idle connections. Every failure
-//! says whether the peer may have seen the request, since only a request that
-//! was never sent can be called not run.
+//! Clones of a client share its pool of idle connections. Every error tells whether the peer may have
+//! received the request, since only a request that was never sent is certain not to have run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -16,14 +15,14 @@
 use hyper_util::rt::TokioExecutor;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Longest answer body read, in bytes. A longer one is an error.
+/// Longest answer body that is read, in bytes. A longer one is an error.
 pub const BODY_LIMIT: usize = 16 << 20;
 
 static SENT: AtomicU64 = AtomicU64::new(0);
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes that all clients of this process have sent and received: bodies and
-/// header lines, without what TCP and IP add.
+/// Bytes that all clients of this process have sent and received: bodies and header lines, without
+/// the overhead of TCP and IP.
 ///
 /// ```
 /// assert_eq!(rest::traffic(), (0, 0));
@@ -32,21 +31,21 @@
     (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
 }
 
-/// Bytes of a start line and header lines.
+/// Size of a start line and header lines, in bytes.
 fn head_size(start: usize, headers: &HeaderMap) -> usize {
     let lines = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
     start + lines.sum::<usize>() + 4
 }
 
-/// Why a call gave no usable answer.
+/// Why a call returned no usable answer.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// No connection could be made: the peer has not seen the request.
+    /// No connection could be opened: the peer has not received the request.
     #[display("could not connect to {peer}: {reason}")]
     Connect {
         /// Address that was called.
         peer: String,
-        /// The transport's own words.
+        /// Error of the transport.
         reason: String,
     },
     /// The connection failed or timed out after the request may have been sent.
@@ -54,7 +53,7 @@
     Lost {
         /// Address that was called.
         peer: String,
-        /// The transport's own words, or the timeout.
+        /// Error of the transport, or the timeout.
         reason: String,
     },
     /// The peer answered with a status other than 2xx.
@@ -67,18 +66,18 @@
         /// Start of the body.
         body: String,
     },
-    /// The body did not decode.
+    /// The body could not be decoded.
     #[display("answer of {peer} does not decode: {reason}")]
     Decode {
         /// Address that was called.
         peer: String,
-        /// The decoder's own words.
+        /// Error of the decoder.
         reason: String,
     },
 }
 
 impl Error {
-    /// True when the peer cannot have acted on the request.
+    /// True if the peer can't have acted on the request.
     ///
     /// ```
     /// let e = rest::Error::Connect { peer: "127.0.0.1:1".into(), reason: "refused".into() };
@@ -88,7 +87,7 @@
         matches!(self, Error::Connect { .. })
     }
 
-    /// The HTTP status, when there was an answer.
+    /// The HTTP status, if there was an answer other than 2xx.
     ///
     /// ```
     /// let e = rest::Error::Connect { peer: "127.0.0.1:1".into(), reason: "refused".into() };
@@ -102,7 +101,7 @@
     }
 }
 
-/// A whole answer, for callers that pass it on unread.
+/// An answer that has not been decoded.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// HTTP status.
@@ -122,7 +121,7 @@
 }
 
 impl Client {
-    /// A client for `base` (`http://127.0.0.1:9000`), giving up on each call after `timeout`.
+    /// Creates a client for `base` (`http://127.0.0.1:9000`); each call fails after `timeout`.
     ///
     /// ```
     /// let rdr = rest::Client::new("http://127.0.0.1:9000", std::time::Duration::from_secs(2));
@@ -134,24 +133,24 @@
         connector.set_connect_timeout(Some(Duration::from_millis(500).min(timeout)));
         let pool = Pool::builder(TokioExecutor::new())
             .pool_idle_timeout(Duration::from_secs(20))
-            // A transparent retry would run a write twice when the pooled
-            // connection dies after the peer has read the request.
+            // A transparent retry would run a write twice if the pooled connection fails after the
+            // peer has read the request.
             .retry_canceled_requests(false)
             .build(connector);
         Client { base: base.trim_end_matches('/').to_string(), pool, timeout }
     }
 
-    /// The same peer and pool with another timeout.
+    /// A client of the same peer and pool with another timeout.
     pub fn with_timeout(&self, timeout: Duration) -> Client {
         Client { timeout, ..self.clone() }
     }
 
-    /// Address this client calls.
+    /// Address that this client calls.
     pub fn base(&self) -> &str {
         &self.base
     }
 
-    /// Sends any request and returns the whole answer, whatever its status.
+    /// Sends a request and returns the whole answer, whatever its status.
     pub async fn send(
         &self,
         method: &str,
@@ -166,12 +165,12 @@
         }
     }
 
-    /// GET, decoded from JSON.
+    /// Sends a GET request and decodes the JSON answer.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.json("GET", path, &()).await
     }
 
-    /// POST of a JSON body, decoded from JSON.
+    /// Sends a POST request with a JSON body and decodes the JSON answer.
     pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -180,7 +179,7 @@
         self.json("POST", path, body).await
     }
 
-    /// Any method with a JSON body; an empty answer decodes as `null`.
+    /// Sends a request with a JSON body and decodes the JSON answer; an empty one decodes as `null`.
     pub async fn json<B: Serialize, T: DeserializeOwned>(
         &self,
         method: &str,
@@ -196,7 +195,7 @@
         self.decoded(&answer)
     }
 
-    /// The JSON of an answer with a 2xx status; an empty body decodes as `null`.
+    /// Decodes the JSON of an answer with a 2xx status; an empty body decodes as `null`.
     pub fn decoded<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, Error> {
         if !StatusCode::from_u16(answer.status).is_ok_and(|s| s.is_success()) {
             let body = String::from_utf8_lossy(&answer.body).chars().take(200).collect();
