--- a/crates/node/src/daemon.rs
+++ b/crates/node/src/daemon.rs
@@ -1,16 +1,17 @@
-//! Command line and life of a daemon: read the settings, check or run, exit code.
+//! Command line of a daemon: reads its settings, checks them or runs the daemon, and returns the exit
+//! code.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use config::process::Process;
 
-use crate::{Error, logs, read};
+use crate::{Error, load_process, logs};
 
-/// What the help of each daemon ends with.
+/// Last line of each daemon's help.
 pub const EXIT_CODES: &str = "Exit codes: 0 stopped or checked, 1 could not start or faults found.";
 
-/// Options of each daemon.
+/// Options that all daemons have.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
     /// Settings file of this process (INI).
@@ -27,7 +28,7 @@
     part: &str,
     run: impl AsyncFnOnce(Process) -> Result<(), Error>,
 ) -> ExitCode {
-    let process = match read(&options.settings) {
+    let process = match load_process(&options.settings) {
         Ok(process) if options.check => {
             println!("{} is a valid settings file for {}", options.settings.display(), process.vm);
             return ExitCode::SUCCESS;
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by opentelemetry, shown as Prometheus text.
+//! Metrics by opentelemetry, exported as Prometheus text.
 
 use opentelemetry::KeyValue;
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider};
@@ -14,21 +14,21 @@
 pub struct Gauges<'a> {
     /// Its name.
     pub target: &'a str,
-    /// Requests that wait.
+    /// Queued requests.
     pub waiting: u64,
-    /// Requests of this router that run.
+    /// Running requests of this router.
     pub running: u64,
-    /// Slots free in the scarcest range, as the router sees it.
+    /// Free slots in the scarcest range, as this router estimates them.
     pub free: u64,
-    /// Agents that get no work for being slow or failing.
+    /// Agents ejected because they are slow or fail.
     pub ejected: u64,
-    /// Tries that the retry budget still allows.
+    /// Retries that the retry budget still allows.
     pub budget: u64,
 }
 
-/// Gauges by `target`.
+/// Gauges with the label `target`.
 #[derive(Debug)]
-struct Queues {
+struct QueueGauges {
     waiting: Gauge<u64>,
     running: Gauge<u64>,
     free: Gauge<u64>,
@@ -36,17 +36,17 @@
     budget: Gauge<u64>,
 }
 
-/// The instruments of a daemon. What each tells an operator is in docs/OPERATIONS.md.
+/// The instruments of a daemon; docs/OPERATIONS.md describes them for operators.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Kept so that the instruments stay connected.
+    /// Kept because the instruments stop exporting when it is dropped.
     _provider: SdkMeterProvider,
     /// Requests that have ended, by `kind` and `outcome`.
     requests: Counter<u64>,
-    /// Requests a router refused by `cause`.
+    /// Requests that a router refused, by `cause`.
     refusals: Counter<u64>,
-    queues: Queues,
+    queues: QueueGauges,
     /// Generated tokens.
     pub tokens: Counter<u64>,
     /// Seconds to the first token.
@@ -56,18 +56,18 @@
     /// Retries by `cause`.
     pub retries: Counter<u64>,
     /// Stage replacements by `cause`.
-    pub replaced: Counter<u64>,
+    pub stages_replaced: Counter<u64>,
     /// Layer runs repeated because a stage's state was lost.
-    pub repeated: Counter<u64>,
+    pub layer_runs_repeated: Counter<u64>,
     /// Log records that did not decode, by `stream`.
-    pub undecodable: Counter<u64>,
-    /// Engine crashes seen.
-    pub crashes: Counter<u64>,
+    pub undecodable_records: Counter<u64>,
+    /// Engine crashes detected.
+    pub engine_crashes: Counter<u64>,
 }
 
 impl Metrics {
-    /// New instruments for the process on `vm`. The version of the fleet settings
-    /// is read when the metrics are.
+    /// Creates the instruments of the process on `vm`. The version of the fleet settings is read when
+    /// the metrics are exported.
     pub fn new(
         vm: &str,
         settings: settings::Watch,
@@ -103,7 +103,7 @@
         Ok(Metrics {
             requests: meter.u64_counter("hyssop_requests").build(),
             refusals: meter.u64_counter("hyssop_refusals").build(),
-            queues: Queues {
+            queues: QueueGauges {
                 waiting: meter.u64_gauge("hyssop_queue_waiting").build(),
                 running: meter.u64_gauge("hyssop_queue_running").build(),
                 free: meter.u64_gauge("hyssop_slots_free").build(),
@@ -114,22 +114,22 @@
             first_token: meter.f64_histogram("hyssop_first_token_seconds").build(),
             between_tokens: meter.f64_histogram("hyssop_between_tokens_seconds").build(),
             retries: meter.u64_counter("hyssop_retries").build(),
-            replaced: meter.u64_counter("hyssop_stages_replaced").build(),
-            repeated: meter.u64_counter("hyssop_layer_runs_repeated").build(),
-            undecodable: meter.u64_counter("hyssop_log_records_undecodable").build(),
-            crashes: meter.u64_counter("hyssop_engine_crashes").build(),
+            stages_replaced: meter.u64_counter("hyssop_stages_replaced").build(),
+            layer_runs_repeated: meter.u64_counter("hyssop_layer_runs_repeated").build(),
+            undecodable_records: meter.u64_counter("hyssop_log_records_undecodable").build(),
+            engine_crashes: meter.u64_counter("hyssop_engine_crashes").build(),
             registry,
             _provider: provider,
         })
     }
 
     /// Counts a request that a router refused.
-    pub fn refused(&self, cause: &str) {
+    pub fn count_refusal(&self, cause: &str) {
         self.refusals.add(1, &[KeyValue::new("cause", cause.to_string())]);
     }
 
-    /// Shows the state of a model or plain service.
-    pub fn gauges(&self, state: &Gauges<'_>) {
+    /// Records the state of a model or plain service.
+    pub fn record_gauges(&self, state: &Gauges<'_>) {
         let target = [KeyValue::new("target", state.target.to_string())];
         self.queues.waiting.record(state.waiting, &target);
         self.queues.running.record(state.running, &target);
@@ -138,9 +138,9 @@
         self.queues.budget.record(state.budget, &target);
     }
 
-    /// Counts a request that has ended: `kind` is draft or call, `outcome` is answered
-    /// or that of its refusal.
-    pub fn ended(&self, kind: &'static str, outcome: &str) {
+    /// Counts a request that has ended: `kind` is draft or call, `outcome` is answered or the outcome
+    /// of its refusal.
+    pub fn count_request(&self, kind: &'static str, outcome: &str) {
         let outcome = KeyValue::new("outcome", outcome.to_string());
         self.requests.add(1, &[KeyValue::new("kind", kind), outcome]);
     }
