--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/ask.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use serde_json::json;
-use wire::frame::{Ask, Backend, Open, Tell, Watch};
+use wire::frame::{Backend, Command, Frame, Open, Watch};
 use wire::link::Stream;
 use wire::refusal::{Cause, Refusal};
 
@@ -14,46 +14,48 @@
 const LOOK: Duration = Duration::from_millis(25);
 
 /// Answers one stream.
-pub async fn answer(agent: Arc<Agent>, ask: Ask, mut stream: Stream) {
+pub async fn answer(agent: Arc<Agent>, ask: Command, mut stream: Stream) {
     let _work = match ask {
-        Ask::Draft(_) | Ask::Attach(_) | Ask::Open(_) | Ask::Call(_) => Some(agent.work.begin()),
+        Command::Draft(_) | Command::Attach(_) | Command::Open(_) | Command::Call(_) => {
+            Some(agent.work.begin())
+        }
         _ => None,
     };
     match ask {
-        Ask::Watch(watch) => report(agent, watch, stream).await,
-        Ask::Draft(draft) => draft::run(agent, draft, stream).await,
-        Ask::Attach(attach) => draft::attach(agent, attach, stream).await,
-        Ask::Cancel(cancel) => {
+        Command::Watch(watch) => report(agent, watch, stream).await,
+        Command::Draft(draft) => draft::run(agent, draft, stream).await,
+        Command::Attach(attach) => draft::attach(agent, attach, stream).await,
+        Command::Cancel(cancel) => {
             draft::cancel(&agent, &cancel);
-            reply(&mut stream, Tell::Ok).await;
+            reply(&mut stream, Frame::Ok).await;
         }
-        Ask::Open(open) => match agent.stage.clone() {
+        Command::Open(open) => match agent.stage.clone() {
             Some(table) => serve_stage(&agent, table, open, stream).await,
             None => {
-                let tell = Tell::Refused(nothing_here(&agent, "open"));
+                let tell = Frame::Refused(nothing_here(&agent, "open"));
                 reply(&mut stream, tell).await;
             }
         },
-        Ask::Call(call) => {
+        Command::Call(call) => {
             let tell = match &agent.service {
                 Some(service) => call::run(agent.clone(), service.clone(), call).await,
                 None => Err(nothing_here(&agent, "call")),
             };
-            let tell = tell.map_or_else(Tell::Refused, Tell::Reply);
+            let tell = tell.map_or_else(Frame::Refused, Frame::Reply);
             reply(&mut stream, tell).await;
         }
-        Ask::Status => {
+        Command::Status => {
             let text = status(&agent).to_string();
-            reply(&mut stream, Tell::Text(text)).await;
+            reply(&mut stream, Frame::Text(text)).await;
         }
         // Answered by the node crate before this one is asked.
-        Ask::Settings | Ask::Explain(_) => {}
+        Command::Settings | Command::Explain(_) => {}
         // Only routers know the replicas of a range.
-        Ask::Replicas(_) | Ask::Gaps(_) => {}
+        Command::Replicas(_) | Command::Gaps(_) => {}
     }
 }
 
-async fn reply(stream: &mut Stream, tell: Tell) {
+async fn reply(stream: &mut Stream, tell: Frame) {
     match stream.send(&tell).await {
         Ok(()) => {
             stream.finish();
@@ -76,7 +78,7 @@
     log::debug!("report: {} watches", watch.vm);
     loop {
         let sent = agent.report();
-        if stream.send(&Tell::Report(Box::new(sent.clone()))).await.is_err() {
+        if stream.send(&Frame::Report(Box::new(sent.clone()))).await.is_err() {
             return;
         }
         let interval = agent.node.settings.borrow().fleet.defaults.report_interval;
@@ -108,16 +110,16 @@
     };
     let mut session = match opened {
         Ok(session) => session,
-        Err(refusal) => return reply(&mut stream, Tell::Refused(refusal)).await,
+        Err(refusal) => return reply(&mut stream, Frame::Refused(refusal)).await,
     };
-    if stream.send(&Tell::Opened).await.is_err() {
+    if stream.send(&Frame::Opened).await.is_err() {
         return;
     }
-    while let Ok(Some(Tell::Step(step))) = stream.next().await {
+    while let Ok(Some(Frame::Step(step))) = stream.next().await {
         // A head that has given this stage up no longer reads: without this the
         // slot would stay taken as long as the engine hangs.
         let tell = tokio::select! {
-            ran = session.step(step) => ran.map_or_else(Tell::Refused, Tell::Output),
+            ran = session.step(step) => ran.map_or_else(Frame::Refused, Frame::Output),
             () = stream.stopped() => return,
         };
         if stream.send(&tell).await.is_err() {
--- a/crates/agent/src/chain.rs
+++ b/crates/agent/src/chain.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use tokio::time::{Instant, timeout_at};
-use wire::frame::{Hop, Open, Output, Place, Step, Word};
+use wire::frame::{Hop, Open, Output, Place, Sample, Step};
 use wire::id;
 use wire::refusal::{Cause, Refusal};
 
@@ -106,7 +106,7 @@
     }
 
     /// Runs all ranges on the next positions and returns the token after them.
-    pub async fn run(&mut self, inputs: &[u64]) -> Result<Word, Refusal> {
+    pub async fn run(&mut self, inputs: &[u64]) -> Result<Sample, Refusal> {
         let mut hidden = inputs.to_vec();
         let mut token = None;
         for i in 0..self.ranges.len() {
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -13,7 +13,7 @@
 use policy::quarantine::Verdict;
 use tokio::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use wire::id::Fingerprint;
-use wire::quarantine::{Running, show};
+use wire::quarantine::{Running, format_fingerprint};
 use wire::refusal::{Cause, Refusal};
 
 /// Engine processes remembered as crashed.
@@ -159,5 +159,9 @@
 
 /// How a request is named in the records.
 pub fn running(fingerprint: Fingerprint, request: &str, tag: &str) -> Running {
-    Running { fingerprint: show(fingerprint), request: request.into(), tag: tag.into() }
+    Running {
+        fingerprint: format_fingerprint(fingerprint),
+        request: request.into(),
+        tag: tag.into(),
+    }
 }
--- a/crates/agent/src/draft.rs
+++ b/crates/agent/src/draft.rs
@@ -9,7 +9,7 @@
 use policy::quarantine::Verdict;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use wire::frame::{Accepted, Attach, Cancel, Done, Draft, Tell, Token, Word};
+use wire::frame::{Accepted, Attach, Cancel, Done, Draft, Frame, Sample, Token};
 use wire::id;
 use wire::link::Stream;
 use wire::refusal::{Cause, Refusal};
@@ -31,7 +31,7 @@
 /// How far a draft has come.
 #[derive(Debug, Default, Clone)]
 struct Progress {
-    words: Vec<Word>,
+    samples: Vec<Sample>,
     end: Option<Result<Done, Refusal>>,
 }
 
@@ -90,12 +90,12 @@
     match begin(&agent, draft).await {
         Ok(run) => {
             let accepted = Accepted { prompt_tokens: run.prompt_tokens };
-            if stream.send(&Tell::Accepted(accepted)).await.is_ok() {
+            if stream.send(&Frame::Accepted(accepted)).await.is_ok() {
                 follow(&run, run.offset, stream).await;
             }
         }
         Err(refusal) => {
-            let _ = stream.send(&Tell::Refused(refusal)).await;
+            let _ = stream.send(&Frame::Refused(refusal)).await;
             stream.finish();
         }
     }
@@ -109,11 +109,11 @@
         Some(run) if ask.after < run.offset => {
             let why = format!("tokens before {} are kept by nobody", run.offset);
             let refusal = Refusal::refused(Cause::NotFound, "attach", vm, why);
-            stream.send(&Tell::Refused(refusal)).await
+            stream.send(&Frame::Refused(refusal)).await
         }
         Some(run) => {
             let accepted = Accepted { prompt_tokens: run.prompt_tokens };
-            if stream.send(&Tell::Accepted(accepted)).await.is_ok() {
+            if stream.send(&Frame::Accepted(accepted)).await.is_ok() {
                 follow(&run, ask.after, stream).await;
             }
             return;
@@ -121,7 +121,7 @@
         None => {
             let why = "no such request is running or has ended lately";
             let refusal = Refusal::refused(Cause::NotFound, "attach", vm, why);
-            stream.send(&Tell::Refused(refusal)).await
+            stream.send(&Frame::Refused(refusal)).await
         }
     };
     match sent {
@@ -222,11 +222,11 @@
 ) -> Result<u32, Refusal> {
     let mut count = run.offset;
     while count < max_tokens {
-        let word = chain.run(&inputs).await?;
-        inputs = vec![word.id];
+        let sample = chain.run(&inputs).await?;
+        inputs = vec![sample.id];
         count += 1;
-        let end = word.end;
-        run.progress.send_modify(|p| p.words.push(word));
+        let end = sample.end;
+        run.progress.send_modify(|p| p.samples.push(sample));
         if end {
             break;
         }
@@ -260,18 +260,18 @@
     loop {
         let (news, end) = {
             let now = progress.borrow_and_update();
-            (now.words.get(sent..).unwrap_or_default().to_vec(), now.end.clone())
+            (now.samples.get(sent..).unwrap_or_default().to_vec(), now.end.clone())
         };
-        for word in news {
+        for sample in news {
             let index = run.offset + sent as u32;
-            if stream.send(&Tell::Token(Token { index, word })).await.is_err() {
+            if stream.send(&Frame::Token(Token { index, sample })).await.is_err() {
                 return;
             }
             sent += 1;
         }
         let last = match end {
-            Some(Ok(done)) => Tell::Done(done),
-            Some(Err(refusal)) => Tell::Refused(refusal),
+            Some(Ok(done)) => Frame::Done(done),
+            Some(Err(refusal)) => Frame::Refused(refusal),
             None => {
                 // Also ends when the router has gone: nobody reads the stream.
                 tokio::select! {
--- a/crates/agent/src/order.rs
+++ b/crates/agent/src/order.rs
@@ -15,8 +15,8 @@
 use node::Node;
 use rand::seq::IndexedRandom;
 use tokio::time::{sleep, timeout};
-use wire::frame::{Ask, Gaps, Stage, Tell};
-use wire::order::{Claim, HOLD, Placed, STREAM, valid};
+use wire::frame::{Command, Frame, Gaps, Stage};
+use wire::order::{CLAIM_VALIDITY, Claim, LogRecord, STREAM, filter_valid};
 
 use crate::Agent;
 
@@ -89,9 +89,9 @@
     let asked: Vec<_> = routers.sample(&mut rand::rng(), 2).collect();
     let mut found: Option<Gaps> = None;
     for router in asked {
-        let ask = Ask::Gaps(own.clone());
+        let ask = Command::Gaps(own.clone());
         let asked = node.peers.ask(&router.vm, &router.address, &ask);
-        if let Ok(Ok(Tell::Gaps(mut gaps))) = timeout(ANSWER, asked).await {
+        if let Ok(Ok(Frame::Gaps(mut gaps))) = timeout(ANSWER, asked).await {
             if let Some(other) = found.take() {
                 gaps.lost.retain(|stage| other.lost.contains(stage));
                 gaps.replicas = gaps.replicas.max(other.replicas);
@@ -111,7 +111,7 @@
     let data = serde_json::to_string(&claim).map_err(|e| e.to_string())?;
     // A lost answer is settled by reading: the record stands or it does not.
     let appended = log.append(STREAM, &data).await;
-    let claims = valid(read(log).await?);
+    let claims = filter_valid(read(log).await?);
     let Some(own) = claims.iter().find(|c| c.claim.id == id) else {
         let why = appended.err().map_or("another agent was first".to_string(), |e| e.to_string());
         log::info!("order: layers {}-{} are not loaded here: {why}", stage.first, stage.last);
@@ -125,10 +125,10 @@
         first: stage.first,
         last: stage.last,
     };
-    table.order(&order, stage, HOLD).await.map_err(|e| e.to_string())
+    table.order(&order, stage, CLAIM_VALIDITY).await.map_err(|e| e.to_string())
 }
 
-async fn read(log: &Client) -> Result<Vec<Placed>, String> {
+async fn read(log: &Client) -> Result<Vec<LogRecord>, String> {
     let mut placed = Vec::new();
     let mut from = 0;
     loop {
@@ -142,7 +142,7 @@
             match serde_json::from_str(&record.data) {
                 Ok(claim) => {
                     let (offset, time_ms) = (record.offset, record.time_ms);
-                    placed.push(Placed { offset, time_ms, claim });
+                    placed.push(LogRecord { offset, time_ms, claim });
                 }
                 Err(e) => log::warn!("order: record {} is unreadable: {e}", record.offset),
             }
--- a/crates/agent/src/seat.rs
+++ b/crates/agent/src/seat.rs
@@ -9,7 +9,7 @@
 use node::alive::Wait;
 use rand::seq::IndexedRandom;
 use tokio::time::{sleep, timeout};
-use wire::frame::{Ask, Open, Output, Place, Stage, Step, Tell};
+use wire::frame::{Command, Frame, Open, Output, Place, Stage, Step};
 use wire::link::Stream;
 use wire::refusal::{Cause, Refusal};
 
@@ -99,10 +99,11 @@
     };
     let peers = &agent.node.peers;
     let wait = peers.wait(&place.vm, &place.address);
-    let mut stream = peers.open(&place.vm, &place.address, &Ask::Open(open)).await.map_err(down)?;
+    let mut stream =
+        peers.open(&place.vm, &place.address, &Command::Open(open)).await.map_err(down)?;
     match stream.expect().await.map_err(down)? {
-        Tell::Opened => Ok(Seat::There(stream, wait)),
-        Tell::Refused(refusal) => Err(refusal),
+        Frame::Opened => Ok(Seat::There(stream, wait)),
+        Frame::Refused(refusal) => Err(refusal),
         _ => Err(Refusal::not_run(Cause::Unavailable, "open", &place.vm, "unexpected frame")),
     }
 }
@@ -110,10 +111,10 @@
 async fn exchange(stream: &mut Stream, step: Step) -> Result<Output, Refusal> {
     let peer = stream.peer.clone();
     let down = |e: wire::link::Error| lost("step", &peer, &e.to_string());
-    stream.send(&Tell::Step(step)).await.map_err(down)?;
+    stream.send(&Frame::Step(step)).await.map_err(down)?;
     match stream.expect().await.map_err(down)? {
-        Tell::Output(output) => Ok(output),
-        Tell::Refused(refusal) => Err(refusal),
+        Frame::Output(output) => Ok(output),
+        Frame::Refused(refusal) => Err(refusal),
         _ => Err(lost("step", &peer, "unexpected frame")),
     }
 }
@@ -125,10 +126,10 @@
     let list = agent.node.vms.borrow().clone();
     let routers: Vec<_> = list.iter().filter(|e| e.role == Role::Router).collect();
     let Some(router) = routers.choose(&mut rand::rng()) else { return Vec::new() };
-    let ask = Ask::Replicas(stage.clone());
+    let ask = Command::Replicas(stage.clone());
     let asked = agent.node.peers.ask(&router.vm, &router.address, &ask);
     match timeout(REPLICAS_TIMEOUT, asked).await {
-        Ok(Ok(Tell::Places(places))) => places,
+        Ok(Ok(Frame::Places(places))) => places,
         _ => Vec::new(),
     }
 }
--- a/crates/agent/src/stage.rs
+++ b/crates/agent/src/stage.rs
@@ -8,7 +8,7 @@
 use policy::limit::{Kind, Objective};
 use policy::quarantine::Verdict;
 use tokio::time::timeout;
-use wire::frame::{Open, Output, Stage, Step, Word};
+use wire::frame::{Open, Output, Sample, Stage, Step};
 use wire::id;
 use wire::quarantine::Running;
 use wire::refusal::{Cause, Refusal};
@@ -286,7 +286,7 @@
             return Err(crash::refusal(&table.vm, "step", left));
         }
         let ran = self.at_engine(&step, alone).await?;
-        let token = ran.token.map(|t| Word { id: t.id, text: t.text, end: t.end });
+        let token = ran.token.map(|t| Sample { id: t.id, text: t.text, end: t.end });
         let output = Output { position: step.position, outputs: ran.outputs, token };
         self.turn.done(step, output.clone()).map_err(|r| table.refuse(r.cause, "step", r.why))?;
         Ok(output)
--- a/crates/ctl/src/cmd/explain.rs
+++ b/crates/ctl/src/cmd/explain.rs
@@ -2,7 +2,7 @@
 
 use cloud::vm::{Entry, Role};
 use serde_json::{Map, Value};
-use wire::frame::Ask;
+use wire::frame::Command;
 
 use crate::cmd::lines;
 use crate::error::Error;
@@ -40,7 +40,7 @@
     let asked = |entry: &Entry| entry.vm == owner || entry.role == Role::Router;
     let entries: Vec<Entry> = peer::list(common).await?.into_iter().filter(asked).collect();
     let listed = entries.iter().any(|entry| entry.vm == owner);
-    let answers = peer::ask(common, entries, &Ask::Explain(args.request.clone())).await?;
+    let answers = peer::ask(common, entries, &Command::Explain(args.request.clone())).await?;
 
     let mut silent: Vec<String> = answers.iter().filter_map(trouble).collect();
     if !listed {
--- a/crates/ctl/src/cmd/publish.rs
+++ b/crates/ctl/src/cmd/publish.rs
@@ -7,7 +7,7 @@
 use config::fleet;
 use serde::Serialize;
 use tokio::time::Instant;
-use wire::frame::{Ask, Tell};
+use wire::frame::{Command, Frame};
 
 use crate::error::Error;
 use crate::option::Common;
@@ -83,9 +83,9 @@
 async fn restart(common: &Common, args: &Args, text: String) -> Result<Report, Error> {
     let mut stream = Stream::read(common).await?;
     let entries = peer::list(common).await?;
-    for answer in peer::ask(common, entries, &Ask::Settings).await? {
+    for answer in peer::ask(common, entries, &Command::Settings).await? {
         match answer.tell {
-            Ok(Tell::Settings(settings)) => {
+            Ok(Frame::Settings(settings)) => {
                 stream.state.adopt(settings.version, &settings.text);
             }
             Ok(_) => {}
--- a/crates/ctl/src/cmd/quarantine.rs
+++ b/crates/ctl/src/cmd/quarantine.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use cloud::log::{Client, Record as Raw};
 use serde::Serialize;
-use wire::quarantine::{self, LATE, Record, Running, STREAM};
+use wire::quarantine::{self, MAX_RECORD_DELAY, Record, Running, STREAM};
 
 use crate::error::Error;
 use crate::option::Common;
@@ -58,7 +58,7 @@
     match args.command {
         Command::List => list(common, &log).await,
         Command::Lift { fingerprint, author, reason } => {
-            if quarantine::read(&fingerprint).is_none() {
+            if quarantine::parse_fingerprint(&fingerprint).is_none() {
                 let why = format!("'{fingerprint}' is no fingerprint: 16 hexadecimal digits");
                 return Err(Error::Usage(why));
             }
@@ -117,7 +117,7 @@
                     request: r.request.clone(),
                     tag: r.tag.clone(),
                 };
-                let late = LATE.as_millis() as u64;
+                let late = MAX_RECORD_DELAY.as_millis() as u64;
                 cleared.retain(|(_, at)| at + late > raw.time_ms);
                 let known = |r: &&Running| !cleared.iter().any(|(f, _)| *f == r.fingerprint);
                 suspects.iter().filter(known).for_each(|r| put(&mut rows, row("suspect", r)));
--- a/crates/ctl/src/cmd/status.rs
+++ b/crates/ctl/src/cmd/status.rs
@@ -2,7 +2,7 @@
 
 use cloud::vm;
 use serde::{Deserialize, Serialize};
-use wire::frame::Ask;
+use wire::frame::Command;
 
 use crate::error::{self, Error};
 use crate::option::Common;
@@ -50,7 +50,7 @@
 /// Asks every VM and prints a row for each.
 pub async fn run(common: &Common, _args: Args) -> Result<Report, Error> {
     let entries = peer::list(common).await?;
-    let answers = peer::ask(common, entries, &Ask::Status).await?;
+    let answers = peer::ask(common, entries, &Command::Status).await?;
     let rows: Vec<Row> = answers.into_iter().map(row).collect();
     let silent = rows.iter().any(|row| row.error.is_some() && row.listed == vm::State::Live);
     let code = if silent { error::UNREACHABLE } else { error::OK };
--- a/crates/ctl/src/option.rs
+++ b/crates/ctl/src/option.rs
@@ -42,7 +42,7 @@
     }
 
     /// Certificates for the links to the VMs.
-    pub fn tls(&self) -> Result<wire::tls::Pair, Error> {
+    pub fn tls(&self) -> Result<wire::tls::Config, Error> {
         let folder = self.tls.as_ref().ok_or_else(|| missing("--tls DIR"))?;
         let name = self.name.as_ref().ok_or_else(|| missing("--as NAME"))?;
         let file = |ending: &str| folder.join(format!("{name}.{ending}"));
--- a/crates/ctl/src/peer.rs
+++ b/crates/ctl/src/peer.rs
@@ -5,7 +5,7 @@
 
 use cloud::vm::Entry;
 use tokio::task::JoinSet;
-use wire::frame::{Ask, Settings, Tell};
+use wire::frame::{Command, Frame, Settings};
 use wire::link;
 
 use crate::error::Error;
@@ -24,7 +24,7 @@
     /// The VM as it is listed.
     pub entry: Entry,
     /// Its answer.
-    pub tell: Result<Tell, String>,
+    pub tell: Result<Frame, String>,
 }
 
 /// VMs of the platform's list.
@@ -33,7 +33,11 @@
 }
 
 /// Asks all of them at the same time. The answers come in the order of the VMs' names.
-pub async fn ask(common: &Common, entries: Vec<Entry>, ask: &Ask) -> Result<Vec<Answer>, Error> {
+pub async fn ask(
+    common: &Common,
+    entries: Vec<Entry>,
+    ask: &Command,
+) -> Result<Vec<Answer>, Error> {
     let any = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     let endpoint = link::client(any, &common.tls()?)?;
     let mut tasks = JoinSet::new();
@@ -58,19 +62,19 @@
 /// Settings in force at each VM that answers.
 pub async fn settings(common: &Common) -> Result<Vec<Settings>, Error> {
     let entries = list(common).await?;
-    let answers = ask(common, entries, &Ask::Settings).await?;
+    let answers = ask(common, entries, &Command::Settings).await?;
     let told = answers.into_iter().filter_map(|answer| match answer.tell {
-        Ok(Tell::Settings(settings)) => Some(settings),
+        Ok(Frame::Settings(settings)) => Some(settings),
         _ => None,
     });
     Ok(told.collect())
 }
 
 /// The text of an answer.
-pub fn text(tell: &Result<Tell, String>) -> Result<&str, String> {
+pub fn text(tell: &Result<Frame, String>) -> Result<&str, String> {
     match tell {
-        Ok(Tell::Text(text)) => Ok(text),
-        Ok(Tell::Refused(refusal)) => Err(refusal.to_string()),
+        Ok(Frame::Text(text)) => Ok(text),
+        Ok(Frame::Refused(refusal)) => Err(refusal.to_string()),
         Ok(_) => Err("an answer of another kind".to_string()),
         Err(e) => Err(e.clone()),
     }
@@ -79,8 +83,8 @@
 async fn exchange(
     endpoint: &quinn::Endpoint,
     entry: &Entry,
-    ask: &Ask,
-) -> Result<Tell, link::Error> {
+    ask: &Command,
+) -> Result<Frame, link::Error> {
     let connection = link::connect(endpoint, &entry.vm, &entry.address).await?;
     let mut stream = link::open(&connection, &entry.vm, ask).await?;
     stream.finish();
--- a/crates/ctl/tests/certs.rs
+++ b/crates/ctl/tests/certs.rs
@@ -6,30 +6,30 @@
 use std::path::Path;
 
 use rstest::rstest;
-use wire::frame::{Ask, Tell};
+use wire::frame::{Command, Frame};
 use wire::{link, tls};
 use work::{Work, any};
 
-fn pair(folder: &Path, vm: &str) -> tls::Pair {
+fn pair(folder: &Path, vm: &str) -> tls::Config {
     let file = |ending: &str| folder.join(format!("{vm}.{ending}"));
     tls::load(&folder.join("ca.pem"), &file("pem"), &file("key")).unwrap()
 }
 
 /// One question from `client` to `server`, which is known as `name`.
-async fn ask(server: &tls::Pair, name: &str, client: &tls::Pair) -> Result<Tell, link::Error> {
+async fn ask(server: &tls::Config, name: &str, client: &tls::Config) -> Result<Frame, link::Error> {
     let server = link::bind(any(), server).unwrap();
     let address = server.local_addr().unwrap().to_string();
     tokio::spawn(async move {
         let connection = server.accept().await.unwrap().await?;
         let mut stream = link::accept(&connection).await.unwrap();
-        stream.expect::<Ask>().await.unwrap();
-        stream.send(&Tell::Ok).await.unwrap();
+        stream.expect::<Command>().await.unwrap();
+        stream.send(&Frame::Ok).await.unwrap();
         connection.closed().await;
         Ok::<(), quinn::ConnectionError>(())
     });
     let client = link::client(any(), client)?;
     let connection = link::connect(&client, name, &address).await?;
-    let mut stream = link::open(&connection, name, &Ask::Status).await?;
+    let mut stream = link::open(&connection, name, &Command::Status).await?;
     stream.expect().await
 }
 
@@ -44,8 +44,8 @@
 
     let folder = work.0.join("c");
     let (entry, gpu) = (pair(&folder, "entry-1"), pair(&folder, "gpu-1"));
-    assert_eq!(ask(&entry, "entry-1", &gpu).await.unwrap(), Tell::Ok);
-    assert_eq!(ask(&gpu, "gpu-1", &entry).await.unwrap(), Tell::Ok);
+    assert_eq!(ask(&entry, "entry-1", &gpu).await.unwrap(), Frame::Ok);
+    assert_eq!(ask(&gpu, "gpu-1", &entry).await.unwrap(), Frame::Ok);
     assert!(ask(&gpu, "gpu-2", &entry).await.is_err(), "another VM's name was trusted");
 }
 
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -6,7 +6,7 @@
 
 use cloud::vm::{Entry, Role, State};
 use fake::serve::{self, Server};
-use wire::frame::{Ask, Tell};
+use wire::frame::{Command, Frame};
 use wire::{link, tls};
 use work::{Run, Work, any};
 
@@ -61,8 +61,8 @@
     while let Some(incoming) = endpoint.accept().await {
         let Ok(connection) = incoming.await else { continue };
         let mut stream = link::accept(&connection).await.unwrap();
-        stream.expect::<Ask>().await.unwrap();
-        stream.send(&Tell::Text(text.to_string())).await.unwrap();
+        stream.expect::<Command>().await.unwrap();
+        stream.send(&Frame::Text(text.to_string())).await.unwrap();
         stream.finish();
         connection.closed().await;
     }
--- a/crates/node/src/quarantine.rs
+++ b/crates/node/src/quarantine.rs
@@ -13,7 +13,7 @@
 use policy::quarantine::{List, Verdict};
 use tokio::sync::mpsc;
 use wire::id::Fingerprint;
-use wire::quarantine::{self, Record, Running, STREAM, show};
+use wire::quarantine::{self, Record, Running, STREAM, format_fingerprint};
 
 use crate::settings;
 
@@ -76,9 +76,9 @@
     pub fn crashed(&self, incarnation: &str, running: Vec<Running>) {
         let fingerprints = quarantine::fingerprints(&running);
         let second = self.with(|list, now| list.crashed(&fingerprints, now));
-        let (refused, suspects): (Vec<_>, Vec<_>) = running
-            .into_iter()
-            .partition(|r| quarantine::read(&r.fingerprint).is_some_and(|f| second.contains(&f)));
+        let (refused, suspects): (Vec<_>, Vec<_>) = running.into_iter().partition(|r| {
+            quarantine::parse_fingerprint(&r.fingerprint).is_some_and(|f| second.contains(&f))
+        });
         log::warn!(
             "quarantine: the engine crashed; {} requests run alone from now on, {} are refused",
             suspects.len(),
@@ -91,7 +91,7 @@
     /// A suspect ran alone without a crash.
     pub fn cleared(&self, fingerprint: Fingerprint) {
         self.with(|list, _| list.completed(fingerprint));
-        let (vm, fingerprints) = (self.vm.clone(), vec![show(fingerprint)]);
+        let (vm, fingerprints) = (self.vm.clone(), vec![format_fingerprint(fingerprint)]);
         self.tell(Record::Cleared { vm, fingerprints });
     }
 
@@ -148,9 +148,9 @@
     fn cleared_lately(&self, record: &Record) -> Vec<Fingerprint> {
         let now = self.began.elapsed();
         let state = &mut *self.state.lock().expect("no panic while held");
-        state.cleared.retain(|(_, at)| *at + quarantine::LATE > now);
+        state.cleared.retain(|(_, at)| *at + quarantine::MAX_RECORD_DELAY > now);
         if let Record::Cleared { fingerprints, .. } = record {
-            let new = fingerprints.iter().filter_map(|f| quarantine::read(f));
+            let new = fingerprints.iter().filter_map(|f| quarantine::parse_fingerprint(f));
             state.cleared.extend(new.map(|f| (f, now)));
         }
         state.cleared.iter().map(|(f, _)| *f).collect()
@@ -166,11 +166,11 @@
                 list.merge(&suspects, &refused, now - age);
             }
             Record::Cleared { fingerprints, .. } => {
-                let cleared = fingerprints.iter().filter_map(|f| quarantine::read(f));
+                let cleared = fingerprints.iter().filter_map(|f| quarantine::parse_fingerprint(f));
                 cleared.for_each(|f| list.completed(f));
             }
             Record::Lifted { fingerprint, .. } => {
-                quarantine::read(&fingerprint).into_iter().for_each(|f| list.lift(f));
+                quarantine::parse_fingerprint(&fingerprint).into_iter().for_each(|f| list.lift(f));
             }
         });
     }
--- a/crates/node/src/serve.rs
+++ b/crates/node/src/serve.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use wire::frame::{Ask, Settings, Tell};
+use wire::frame::{Command, Frame, Settings};
 use wire::link::{self, Stream};
 
 use crate::Node;
@@ -11,7 +11,7 @@
 /// (settings, explain) are answered here, the others go to `handle`.
 pub async fn run<F, T>(node: Arc<Node>, handle: F)
 where
-    F: Fn(Ask, Stream) -> T + Clone + Send + Sync + 'static,
+    F: Fn(Command, Stream) -> T + Clone + Send + Sync + 'static,
     T: Future<Output = ()> + Send + 'static,
 {
     let endpoint = node.peers.endpoint().clone();
@@ -32,7 +32,7 @@
 
 async fn connected<F, T>(node: Arc<Node>, connection: quinn::Connection, handle: F)
 where
-    F: Fn(Ask, Stream) -> T + Clone + Send + Sync + 'static,
+    F: Fn(Command, Stream) -> T + Clone + Send + Sync + 'static,
     T: Future<Output = ()> + Send + 'static,
 {
     while let Some(stream) = link::accept(&connection).await {
@@ -42,19 +42,19 @@
 
 async fn one<F, T>(node: Arc<Node>, mut stream: Stream, handle: F)
 where
-    F: Fn(Ask, Stream) -> T,
+    F: Fn(Command, Stream) -> T,
     T: Future<Output = ()>,
 {
-    let sent = match stream.expect::<Ask>().await {
-        Ok(Ask::Settings) => {
+    let sent = match stream.expect::<Command>().await {
+        Ok(Command::Settings) => {
             let force = node.settings.borrow().clone();
             let settings = Settings { version: force.version, text: force.text.to_string() };
-            stream.send(&Tell::Settings(settings)).await
+            stream.send(&Frame::Settings(settings)).await
         }
-        Ok(Ask::Explain(request)) => {
+        Ok(Command::Explain(request)) => {
             let lines = node.trace.find(&request);
             let text = serde_json::to_string(&lines).unwrap_or_default();
-            stream.send(&Tell::Text(text)).await
+            stream.send(&Frame::Text(text)).await
         }
         Ok(ask) => {
             handle(ask, stream).await;
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -11,7 +11,7 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use wire::frame::{Ask, Settings, Tell};
+use wire::frame::{Command, Frame, Settings};
 use wire::{id, link};
 
 use crate::peers::Peers;
@@ -224,15 +224,15 @@
     /// The settings of a peer, when they are newer. Its version is asked for first: the
     /// text of a large fleet is long.
     async fn newer(&self, vm: &str, address: &str) -> Result<Option<Settings>, link::Error> {
-        let Tell::Text(status) = self.peers.ask(vm, address, &Ask::Status).await? else {
+        let Frame::Text(status) = self.peers.ask(vm, address, &Command::Status).await? else {
             return Ok(None);
         };
         let status: serde_json::Value = serde_json::from_str(&status).unwrap_or_default();
         if status["version"].as_u64().unwrap_or(0) <= self.state.version {
             return Ok(None);
         }
-        match self.peers.ask(vm, address, &Ask::Settings).await? {
-            Tell::Settings(settings) => Ok(Some(settings)),
+        match self.peers.ask(vm, address, &Command::Settings).await? {
+            Frame::Settings(settings) => Ok(Some(settings)),
             _ => Ok(None),
         }
     }
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -100,8 +100,8 @@
             return problem::render(res, &gone(vm), &request);
         };
         let cancel = Cancel { request: request.clone(), workspace: workspace.name.clone() };
-        let ask = wire::frame::Ask::Cancel(cancel);
-        let asked = router.node.peers.ask::<_, wire::frame::Tell>(&head.vm, &head.address, &ask);
+        let ask = wire::frame::Command::Cancel(cancel);
+        let asked = router.node.peers.ask::<_, wire::frame::Frame>(&head.vm, &head.address, &ask);
         match asked.await {
             Ok(_) => {
                 res.status_code(StatusCode::NO_CONTENT);
@@ -246,7 +246,7 @@
     let mut words = Vec::new();
     while let Some(event) = next(router, &mut events, request).await {
         match event {
-            Event::Token(_, token) => words.push(token.word),
+            Event::Token(_, token) => words.push(token.sample),
             Event::Done(_) => {
                 let ended = words.last().is_some_and(|w| w.end);
                 let text: String = words.iter().map(|w| w.text.as_str()).collect();
@@ -299,7 +299,7 @@
                 last = now;
                 // The last token carries the reason of the end, so a token is
                 // held back only when it ends the text by itself.
-                match token.word.end {
+                match token.sample.end {
                     true => {
                         held = Some((at, token));
                         continue;
@@ -330,8 +330,8 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "text": token.word.text,
-            "token_id": token.word.id,
+            "text": token.sample.text,
+            "token_id": token.sample.id,
             "finish_reason": finish,
         }],
     });
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -7,7 +7,7 @@
 use policy::quarantine::Verdict;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use wire::frame::{Ask, Attach, Cancel, Draft, HEAD_STRIDE, Hop, Place, Tell, Word};
+use wire::frame::{Attach, Cancel, Command, Draft, Frame, HEAD_STRIDE, Hop, Place, Sample};
 use wire::id;
 use wire::link::Stream;
 use wire::refusal::{Cause, Outcome, Refusal};
@@ -46,7 +46,7 @@
     request: id::Request,
     head: Place,
     /// Tokens the caller has.
-    words: Vec<Word>,
+    words: Vec<Sample>,
     accepted: bool,
     /// A head did not answer, so it may run the draft all the same.
     doubted: bool,
@@ -106,7 +106,7 @@
         fingerprint: None,
         given_up: Vec::new(),
     };
-    let ask = Ask::Attach(attach);
+    let ask = Command::Attach(attach);
     let opened = follower.ask(&ask).await;
     let end = match opened {
         Ok(stream) => follower.follow(stream).await,
@@ -194,7 +194,7 @@
         for (_, task) in self.given_up.iter().filter(|(vm, _)| *vm == self.head.vm) {
             task.abort();
         }
-        let ask = Ask::Draft(self.draft(wanted, attempt, chain));
+        let ask = Command::Draft(self.draft(wanted, attempt, chain));
         self.ask(&ask).await
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Opens a stream to the head and reads whether it accepts.
-    async fn ask(&mut self, ask: &Ask) -> Result<Stream, Refusal> {
+    async fn ask(&mut self, ask: &Command) -> Result<Stream, Refusal> {
         let (vm, address) = (self.head.vm.clone(), self.head.address.clone());
         let _wait = self.router.node.peers.wait(&vm, &address);
         let connection = self.router.node.peers.connection(&vm, &address).await;
@@ -234,7 +234,7 @@
         let asked = async {
             let mut stream =
                 wire::link::open(&connection, &vm, ask).await.map_err(|e| down(e.to_string()))?;
-            let tell = stream.expect::<Tell>().await.map_err(|e| down(e.to_string()))?;
+            let tell = stream.expect::<Frame>().await.map_err(|e| down(e.to_string()))?;
             Ok((stream, tell))
         };
         let asked = tokio::time::timeout(ACCEPT_TIMEOUT, asked).await;
@@ -242,7 +242,7 @@
         self.doubted |= asked.is_err();
         let (stream, tell) = asked?;
         match tell {
-            Tell::Accepted(accepted) => {
+            Frame::Accepted(accepted) => {
                 if !self.accepted {
                     let event = Event::Accepted(self.request.clone(), accepted.prompt_tokens);
                     let _ = self.events.send(event).await;
@@ -250,7 +250,7 @@
                 self.accepted = true;
                 Ok(stream)
             }
-            Tell::Refused(refusal) => Err(refusal),
+            Frame::Refused(refusal) => Err(refusal),
             _ => Err(down("unexpected frame".into())),
         }
     }
@@ -260,7 +260,7 @@
         let _wait = self.router.node.peers.wait(&self.head.vm, &self.head.address);
         loop {
             let tell = tokio::select! {
-                tell = stream.expect::<Tell>() => tell,
+                tell = stream.expect::<Frame>() => tell,
                 () = self.events.closed() => {
                     self.cancel().await;
                     return End::Over;
@@ -270,20 +270,20 @@
                 }
             };
             match tell {
-                Ok(Tell::Token(token)) => {
-                    self.words.push(token.word.clone());
+                Ok(Frame::Token(token)) => {
+                    self.words.push(token.sample.clone());
                     let event = Event::Token(self.request.clone(), token);
                     if self.events.send(event).await.is_err() {
                         self.cancel().await;
                         return End::Over;
                     }
                 }
-                Ok(Tell::Done(done)) => {
+                Ok(Frame::Done(done)) => {
                     self.router.node.metrics.ended("draft", "answered");
                     let _ = self.events.send(Event::Done(done)).await;
                     return End::Done;
                 }
-                Ok(Tell::Refused(refusal)) => {
+                Ok(Frame::Refused(refusal)) => {
                     self.refuse(refusal).await;
                     return End::Over;
                 }
@@ -299,12 +299,12 @@
     fn give_up(&mut self) {
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
         let (head, router) = (self.head.clone(), self.router.clone());
-        let ask = Ask::Cancel(Cancel { request, workspace });
+        let ask = Command::Cancel(Cancel { request, workspace });
         let task = tokio::spawn(async move {
             let until = Instant::now() + ABANDONED;
             while Instant::now() < until {
                 tokio::time::sleep(CANCEL_PAUSE).await;
-                let asked = router.node.peers.ask::<_, Tell>(&head.vm, &head.address, &ask);
+                let asked = router.node.peers.ask::<_, Frame>(&head.vm, &head.address, &ask);
                 if tokio::time::timeout(CANCEL_PAUSE, asked).await.is_ok_and(|r| r.is_ok()) {
                     return;
                 }
@@ -322,9 +322,9 @@
             return;
         }
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
-        let ask = Ask::Cancel(Cancel { request, workspace });
+        let ask = Command::Cancel(Cancel { request, workspace });
         let peers = &self.router.node.peers;
-        if let Err(e) = peers.ask::<_, Tell>(&self.head.vm, &self.head.address, &ask).await {
+        if let Err(e) = peers.ask::<_, Frame>(&self.head.vm, &self.head.address, &ask).await {
             log::debug!("head: a cancelled draft could not be stopped: {e}");
         }
     }
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -22,7 +22,7 @@
 use salvo::conn::TcpListener;
 use salvo::{Listener, Server};
 use serde_json::json;
-use wire::frame::{Ask, Backend, Gaps, Place, Stage, Tell};
+use wire::frame::{Backend, Command, Frame, Gaps, Place, Stage};
 use wire::link::Stream;
 
 /// A router and its parts.
@@ -122,11 +122,11 @@
         .push(salvo::Router::with_path("{**path}").goal(service::Any(router)))
 }
 
-async fn answer(router: Arc<Router>, ask: Ask, mut stream: Stream) {
+async fn answer(router: Arc<Router>, ask: Command, mut stream: Stream) {
     let tell = match ask {
-        Ask::Status => Tell::Text(router.status().to_string()),
-        Ask::Replicas(stage) => Tell::Places(replicas(&router, stage).await),
-        Ask::Gaps(own) => Tell::Gaps(gaps(&router, own)),
+        Command::Status => Frame::Text(router.status().to_string()),
+        Command::Replicas(stage) => Frame::Places(replicas(&router, stage).await),
+        Command::Gaps(own) => Frame::Gaps(gaps(&router, own)),
         _ => return,
     };
     if stream.send(&tell).await.is_ok() {
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -8,7 +8,7 @@
 use salvo::http::{HeaderName, HeaderValue, StatusCode};
 use salvo::prelude::*;
 use tokio::time::{Instant, timeout};
-use wire::frame::{Ask, Call, Class, Place, Reply, Tell};
+use wire::frame::{Call, Class, Command, Frame, Place, Reply};
 use wire::refusal::{Cause, Outcome, Refusal};
 
 use crate::admission::{self, Target, Want};
@@ -223,14 +223,14 @@
     // deadline, though another agent could settle it at once.
     let _wait = peers.wait(vm, address);
     let asked = async {
-        let ask = Ask::Call(Call { deadline: left, ..call.clone() });
+        let ask = Command::Call(Call { deadline: left, ..call.clone() });
         let mut stream = wire::link::open(&connection, vm, &ask).await?;
         stream.finish();
-        stream.expect::<Tell>().await
+        stream.expect::<Frame>().await
     };
     match timeout(left, asked).await {
-        Ok(Ok(Tell::Reply(reply))) => Ok(reply),
-        Ok(Ok(Tell::Refused(refusal))) => Err(refusal),
+        Ok(Ok(Frame::Reply(reply))) => Ok(reply),
+        Ok(Ok(Frame::Refused(refusal))) => Err(refusal),
         Ok(Ok(_)) => Err(lost("unexpected frame".into())),
         Ok(Err(e)) => Err(lost(e.to_string())),
         Err(_) => Err(Refusal::unknown(Cause::Deadline, LINK, vm, "no answer before the deadline")),
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -9,7 +9,7 @@
 use config::fleet::Model;
 use node::Node;
 use tokio::time::timeout;
-use wire::frame::{Ask, Hop, Place, Report, Stage, Tell, Watch};
+use wire::frame::{Command, Frame, Hop, Place, Report, Stage, Watch};
 use wire::id;
 
 use crate::admission::{Admission, Message};
@@ -151,7 +151,7 @@
 
 /// Reads one agent's reports for as long as the VM list has it.
 async fn follow_agent(node: Arc<Node>, view: Arc<View>, place: Place) {
-    let watch = Ask::Watch(Watch { vm: node.process.vm.clone() });
+    let watch = Command::Watch(Watch { vm: node.process.vm.clone() });
     while view.find(&place.vm).is_some_and(|a| a.place == place) {
         let opened = node.peers.open(&place.vm, &place.address, &watch).await;
         match opened {
@@ -173,7 +173,7 @@
         let interval = node.settings.borrow().fleet.defaults.report_interval;
         let silence = (interval * SILENCE).max(LEAST_SILENCE);
         match timeout(silence, stream.expect()).await {
-            Ok(Ok(Tell::Report(report))) => {
+            Ok(Ok(Frame::Report(report))) => {
                 let listed = node
                     .vms
                     .borrow()
--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -11,7 +11,7 @@
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 use wire::codec;
-use wire::frame::{Output, Step, Word};
+use wire::frame::{Output, Sample, Step};
 
 const ROUNDS: u32 = 20_000;
 
@@ -27,7 +27,7 @@
 struct DerivedOutput {
     position: u32,
     outputs: Vec<u64>,
-    token: Option<Word>,
+    token: Option<Sample>,
 }
 
 fn main() {
@@ -35,7 +35,7 @@
     println!("{:<28}{:>8}{:>12}{:>12}", "frame", "bytes", "encode ns", "decode ns");
     for count in [1, 512] {
         let states: Vec<u64> = (0..count).map(|_| rng.random()).collect();
-        let token = Some(Word { id: 77, text: " w77".into(), end: false });
+        let token = Some(Sample { id: 77, text: " w77".into(), end: false });
         row("step, derived", count, &DerivedStep { position: 9, inputs: states.clone() });
         row("step", count, &Step { position: 9, inputs: states.clone() });
         let derived = DerivedOutput { position: 9, outputs: states.clone(), token: token.clone() };
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -7,7 +7,7 @@
 pub const FORMAT: u8 = 1;
 
 /// Longest frame in bytes.
-pub const LIMIT: usize = 24 << 20;
+pub const MAX_FRAME_BYTES: usize = 24 << 20;
 
 /// Why a frame could not be read or written.
 #[derive(Debug, Display, Error)]
@@ -18,8 +18,8 @@
         /// What the peer sent.
         found: u8,
     },
-    /// The frame is longer than [`LIMIT`].
-    #[display("frame of {length} bytes, the limit is {LIMIT}")]
+    /// The frame is longer than [`MAX_FRAME_BYTES`].
+    #[display("frame of {length} bytes, the limit is {MAX_FRAME_BYTES}")]
     Long {
         /// Its length.
         length: usize,
@@ -48,9 +48,9 @@
 ///
 /// ```
 /// use wire::codec::{decode, encode};
-/// use wire::frame::Ask;
-/// let raw = encode(&Ask::Status).unwrap();
-/// assert_eq!(decode::<Ask>(&raw[4..]).unwrap(), Ask::Status);
+/// use wire::frame::Command;
+/// let raw = encode(&Command::Status).unwrap();
+/// assert_eq!(decode::<Command>(&raw[4..]).unwrap(), Command::Status);
 /// ```
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, Error> {
     let raw = vec![0, 0, 0, 0, FORMAT];
@@ -58,7 +58,7 @@
         postcard::to_extend(message, raw).map_err(|e| Error::Decode { reason: e.to_string() })?;
     let length = raw.len() - 4;
     match u32::try_from(length) {
-        Ok(n) if length <= LIMIT => raw[..4].copy_from_slice(&n.to_be_bytes()),
+        Ok(n) if length <= MAX_FRAME_BYTES => raw[..4].copy_from_slice(&n.to_be_bytes()),
         _ => return Err(Error::Long { length }),
     }
     Ok(raw)
@@ -67,7 +67,7 @@
 /// Decodes what follows the length. Another format and trailing bytes are errors.
 ///
 /// ```
-/// assert!(wire::codec::decode::<wire::frame::Ask>(&[9, 0]).is_err());
+/// assert!(wire::codec::decode::<wire::frame::Command>(&[9, 0]).is_err());
 /// ```
 pub fn decode<T: DeserializeOwned>(raw: &[u8]) -> Result<T, Error> {
     let (format, body) = match raw.split_first() {
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -12,39 +12,39 @@
 
 /// First frame of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
-    /// Router to agent: the agent answers with a [`Tell::Report`] at once and then
+pub enum Command {
+    /// Router to agent: the agent answers with a [`Frame::Report`] at once and then
     /// at each change, at least once each report interval.
     Watch(Watch),
-    /// Router to agent: run a draft as its head. Answers: [`Tell::Accepted`] or
-    /// [`Tell::Refused`]; then [`Tell::Token`]s; then [`Tell::Done`] or [`Tell::Refused`].
+    /// Router to agent: run a draft as its head. Answers: [`Frame::Accepted`] or
+    /// [`Frame::Refused`]; then [`Frame::Token`]s; then [`Frame::Done`] or [`Frame::Refused`].
     Draft(Draft),
     /// Router to agent: go on with a draft that the agent drives. Answers as for a draft.
     Attach(Attach),
-    /// Router to agent: the caller has gone. Answer: [`Tell::Ok`].
+    /// Router to agent: the caller has gone. Answer: [`Frame::Ok`].
     Cancel(Cancel),
-    /// Head to stage: open a session. Answer: [`Tell::Opened`] or [`Tell::Refused`].
-    /// Then on the same stream [`Tell::Step`]s from the head, each answered by
-    /// [`Tell::Output`] or [`Tell::Refused`]. The end of the stream closes the session.
+    /// Head to stage: open a session. Answer: [`Frame::Opened`] or [`Frame::Refused`].
+    /// Then on the same stream [`Frame::Step`]s from the head, each answered by
+    /// [`Frame::Output`] or [`Frame::Refused`]. The end of the stream closes the session.
     Open(Open),
-    /// Router to agent: call the plain service. Answer: [`Tell::Reply`] or [`Tell::Refused`].
+    /// Router to agent: call the plain service. Answer: [`Frame::Reply`] or [`Frame::Refused`].
     Call(Call),
-    /// Anyone: the peer's state as JSON. Answer: [`Tell::Text`].
+    /// Anyone: the peer's state as JSON. Answer: [`Frame::Text`].
     Status,
-    /// Anyone: the settings in force at the peer. Answer: [`Tell::Settings`].
+    /// Anyone: the settings in force at the peer. Answer: [`Frame::Settings`].
     Settings,
-    /// Anyone: what the peer knows of a request, as JSON lines. Answer: [`Tell::Text`].
+    /// Anyone: what the peer knows of a request, as JSON lines. Answer: [`Frame::Text`].
     Explain(id::Request),
-    /// Head to router: replicas of a range that can be used now. Answer: [`Tell::Places`].
+    /// Head to router: replicas of a range that can be used now. Answer: [`Frame::Places`].
     Replicas(Stage),
     /// Agent to router: which ranges have no replica, and how many the agent's own
-    /// range has. Answer: [`Tell::Gaps`].
+    /// range has. Answer: [`Frame::Gaps`].
     Gaps(Option<Stage>),
 }
 
 /// Every other frame.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Tell {
+pub enum Frame {
     /// State of an agent.
     Report(Box<Report>),
     /// The draft runs; it will be answered in full or its loss will be said.
@@ -254,12 +254,12 @@
     /// One hidden state a position.
     pub outputs: Vec<u64>,
     /// The sampled token, from the last range.
-    pub token: Option<Word>,
+    pub token: Option<Sample>,
 }
 
 /// A sampled token.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Sample {
     /// Its id.
     pub id: u64,
     /// Its text.
@@ -274,7 +274,7 @@
     /// Number among the generated tokens, from 0.
     pub index: u32,
     /// The token.
-    pub word: Word,
+    pub sample: Sample,
 }
 
 /// A finished draft.
--- a/crates/wire/src/hot.rs
+++ b/crates/wire/src/hot.rs
@@ -10,7 +10,7 @@
 use serde::ser::SerializeTuple;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use crate::frame::{Output, Step, Word};
+use crate::frame::{Output, Sample, Step};
 use crate::id;
 
 /// Bytes of one state.
@@ -121,7 +121,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Output, A::Error> {
         let position: id::Position = part(&mut seq, 0)?;
         let States(outputs) = part(&mut seq, 1)?;
-        let token: Option<Word> = part(&mut seq, 2)?;
+        let token: Option<Sample> = part(&mut seq, 2)?;
         Ok(Output { position, outputs, token })
     }
 }
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -10,7 +10,7 @@
 use crate::{codec, tls};
 
 /// Time a new connection may take.
-pub const CONNECT: Duration = Duration::from_secs(1);
+pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why a link failed, with the step and the peer.
 #[derive(Debug, Display, Error)]
@@ -37,7 +37,7 @@
 ///
 /// The bound port also admits one process at a time on a VM: a second agent
 /// beside the same backend server can't bind and does not start.
-pub fn bind(address: SocketAddr, pair: &tls::Pair) -> Result<quinn::Endpoint, Error> {
+pub fn bind(address: SocketAddr, pair: &tls::Config) -> Result<quinn::Endpoint, Error> {
     let mut endpoint = quinn::Endpoint::server(pair.server.clone(), address)
         .map_err(|e| error("bind", address, e))?;
     endpoint.set_default_client_config(pair.client.clone());
@@ -45,7 +45,7 @@
 }
 
 /// An endpoint that only opens connections, for command-line tools.
-pub fn client(address: SocketAddr, pair: &tls::Pair) -> Result<quinn::Endpoint, Error> {
+pub fn client(address: SocketAddr, pair: &tls::Config) -> Result<quinn::Endpoint, Error> {
     let mut endpoint = quinn::Endpoint::client(address).map_err(|e| error("bind", address, e))?;
     endpoint.set_default_client_config(pair.client.clone());
     Ok(endpoint)
@@ -59,9 +59,9 @@
 ) -> Result<Connection, Error> {
     let addr: SocketAddr = address.parse().map_err(|e| error("parse address", address, e))?;
     let connecting = endpoint.connect(addr, vm).map_err(|e| error("connect", vm, e))?;
-    match tokio::time::timeout(CONNECT, connecting).await {
+    match tokio::time::timeout(CONNECT_TIMEOUT, connecting).await {
         Ok(done) => done.map_err(|e| error("connect", vm, e)),
-        Err(_) => Err(error("connect", vm, format!("no answer in {CONNECT:?}"))),
+        Err(_) => Err(error("connect", vm, format!("no answer in {CONNECT_TIMEOUT:?}"))),
     }
 }
 
@@ -99,7 +99,7 @@
             Err(e) => return Err(error("read", &self.peer, e)),
         }
         let length = u32::from_be_bytes(head) as usize;
-        if length > codec::LIMIT {
+        if length > codec::MAX_FRAME_BYTES {
             return Err(error("read", &self.peer, codec::Error::Long { length }));
         }
         let mut raw = vec![0; length];
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -16,7 +16,7 @@
 
 /// Time in which nobody else may claim the same gap: longer than loading takes.
 /// It is counted by the log service's clock alone, so all readers agree.
-pub const HOLD: Duration = Duration::from_secs(10);
+pub const CLAIM_VALIDITY: Duration = Duration::from_secs(10);
 
 /// One record, encoded as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -33,7 +33,7 @@
 
 /// A claim where it stands in the stream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
+pub struct LogRecord {
     /// Its offset.
     pub offset: u64,
     /// When the log service took it, in milliseconds since the Unix epoch.
@@ -43,28 +43,28 @@
 }
 
 /// Claims that count, out of records in the order of the stream: the first for a
-/// gap, and of engines that hold the same range only one, until [`HOLD`] has
+/// gap, and of engines that hold the same range only one, until [`CLAIM_VALIDITY`] has
 /// passed. Readers of the same records agree. When older records have expired, they
-/// agree on all claims after the first pause of [`HOLD`] without any claim.
+/// agree on all claims after the first pause of [`CLAIM_VALIDITY`] without any claim.
 ///
 /// ```
 /// use wire::frame::Stage;
-/// use wire::order::{Claim, Placed, valid};
+/// use wire::order::{Claim, LogRecord, filter_valid};
 /// let stage = Stage { model: "m".into(), version: 1, first: 0, last: 3 };
-/// let placed = |offset, vm: &str| Placed {
+/// let placed = |offset, vm: &str| LogRecord {
 ///     offset,
 ///     time_ms: 1000,
 ///     claim: Claim { id: vm.into(), vm: vm.into(), stage: stage.clone(), from: None },
 /// };
-/// let found = valid(vec![placed(4, "a"), placed(5, "b")]);
+/// let found = filter_valid(vec![placed(4, "a"), placed(5, "b")]);
 /// assert_eq!(found.len(), 1);
 /// assert_eq!(found[0].offset, 4);
 /// ```
-pub fn valid(records: Vec<Placed>) -> Vec<Placed> {
-    let mut found: Vec<Placed> = Vec::new();
+pub fn filter_valid(records: Vec<LogRecord>) -> Vec<LogRecord> {
+    let mut found: Vec<LogRecord> = Vec::new();
     for new in records {
-        let hold = HOLD.as_millis() as u64;
-        let clash = |old: &Placed| {
+        let hold = CLAIM_VALIDITY.as_millis() as u64;
+        let clash = |old: &LogRecord| {
             let same = old.claim.stage == new.claim.stage;
             let donor = new.claim.from.is_some() && old.claim.from == new.claim.from;
             let recent = new.time_ms < old.time_ms.saturating_add(hold);
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -14,12 +14,12 @@
 
 /// How much later than the clearing of a suspect the record of its crash may
 /// come: another VM runs it again while the first one still appends.
-pub const LATE: Duration = Duration::from_secs(5);
+pub const MAX_RECORD_DELAY: Duration = Duration::from_secs(5);
 
 /// A request that was running when an engine crashed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Running {
-    /// Hash of its content, as [`show`] writes it.
+    /// Hash of its content, as [`format_fingerprint`] writes it.
     pub fingerprint: String,
     /// Its id.
     pub request: id::Request,
@@ -63,17 +63,17 @@
 /// A fingerprint as people read and type it: 16 hexadecimal digits.
 ///
 /// ```
-/// let text = wire::quarantine::show(255);
+/// let text = wire::quarantine::format_fingerprint(255);
 /// assert_eq!(text, "00000000000000ff");
-/// assert_eq!(wire::quarantine::read(&text), Some(255));
-/// assert_eq!(wire::quarantine::read("ff"), None);
+/// assert_eq!(wire::quarantine::parse_fingerprint(&text), Some(255));
+/// assert_eq!(wire::quarantine::parse_fingerprint("ff"), None);
 /// ```
-pub fn show(fingerprint: id::Fingerprint) -> String {
+pub fn format_fingerprint(fingerprint: id::Fingerprint) -> String {
     format!("{fingerprint:016x}")
 }
 
-/// The fingerprint that [`show`] wrote; `None` for any other text.
-pub fn read(text: &str) -> Option<id::Fingerprint> {
+/// The fingerprint that [`format_fingerprint`] wrote; `None` for any other text.
+pub fn parse_fingerprint(text: &str) -> Option<id::Fingerprint> {
     match text.len() {
         16 => u64::from_str_radix(text, 16).ok(),
         _ => None,
@@ -86,5 +86,5 @@
 /// assert!(wire::quarantine::fingerprints(&[]).is_empty());
 /// ```
 pub fn fingerprints(running: &[Running]) -> Vec<id::Fingerprint> {
-    running.iter().filter_map(|r| read(&r.fingerprint)).collect()
+    running.iter().filter_map(|r| parse_fingerprint(&r.fingerprint)).collect()
 }
--- a/crates/wire/src/tls.rs
+++ b/crates/wire/src/tls.rs
@@ -12,13 +12,13 @@
 
 /// A connection without traffic for this long is dead. Chosen to be longer than
 /// a short freeze of a VM and shorter than what a caller waits.
-pub const IDLE: Duration = Duration::from_secs(3);
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Keeps an idle connection alive and finds a dead peer.
-pub const KEEP_ALIVE: Duration = Duration::from_millis(750);
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(750);
 
 /// Bytes of unread pings that are held at most.
-const PINGS: usize = 64;
+const PING_BUFFER_BYTES: usize = 64;
 
 /// Why the certificates can't be used.
 #[derive(Debug, Display, Error)]
@@ -34,7 +34,7 @@
 
 /// Configurations of both directions of a process.
 #[derive(Debug, Clone)]
-pub struct Pair {
+pub struct Config {
     /// For connections it accepts.
     pub server: quinn::ServerConfig,
     /// For connections it opens.
@@ -48,7 +48,7 @@
 /// let none = Path::new("no-such-file.pem");
 /// assert!(wire::tls::load(none, none, none).is_err());
 /// ```
-pub fn load(authority: &Path, certificate: &Path, key: &Path) -> Result<Pair, Error> {
+pub fn load(authority: &Path, certificate: &Path, key: &Path) -> Result<Config, Error> {
     let roots = Arc::new(roots(authority)?);
     let chain = certificates(certificate)?;
     let key_der = PrivateKeyDer::from_pem_file(key).map_err(|e| error("read key", key, e))?;
@@ -76,17 +76,17 @@
     let mut client = quinn::ClientConfig::new(Arc::new(client));
     server.transport_config(transport());
     client.transport_config(transport());
-    Ok(Pair { server, client })
+    Ok(Config { server, client })
 }
 
 fn transport() -> Arc<quinn::TransportConfig> {
     let mut transport = quinn::TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IDLE.try_into().expect("a few seconds fit")))
-        .keep_alive_interval(Some(KEEP_ALIVE))
+        .max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("a few seconds fit")))
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
         .max_concurrent_bidi_streams(4096u32.into())
         // One-byte datagrams serve as pings and are never read.
-        .datagram_receive_buffer_size(Some(PINGS));
+        .datagram_receive_buffer_size(Some(PING_BUFFER_BYTES));
     Arc::new(transport)
 }
 
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -3,11 +3,11 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use wire::codec::{self, Error, decode, encode};
-use wire::frame::{Ask, Output, Step, Tell, Word};
+use wire::frame::{Command, Frame, Output, Sample, Step};
 
 #[rstest]
-#[case::ask(encode(&Ask::Status).unwrap())]
-#[case::step(encode(&Tell::Step(Step { position: 3, inputs: vec![1, u64::MAX] })).unwrap())]
+#[case::ask(encode(&Command::Status).unwrap())]
+#[case::step(encode(&Frame::Step(Step { position: 3, inputs: vec![1, u64::MAX] })).unwrap())]
 fn a_frame_carries_its_length(#[case] raw: Vec<u8>) {
     let length = u32::from_be_bytes(raw[..4].try_into().unwrap());
     assert_eq!(length as usize, raw.len() - 4);
@@ -20,13 +20,13 @@
         states: Vec<u64>,
         word: Option<(u64, String, bool)>,
     ) {
-        let step = Tell::Step(Step { position, inputs: states.clone() });
+        let step = Frame::Step(Step { position, inputs: states.clone() });
         let raw = encode(&step).unwrap();
-        prop_assert_eq!(decode::<Tell>(&raw[4..]).unwrap(), step);
-        let token = word.map(|(id, text, end)| Word { id, text, end });
-        let output = Tell::Output(Output { position, outputs: states, token });
+        prop_assert_eq!(decode::<Frame>(&raw[4..]).unwrap(), step);
+        let token = word.map(|(id, text, end)| Sample { id, text, end });
+        let output = Frame::Output(Output { position, outputs: states, token });
         let raw = encode(&output).unwrap();
-        prop_assert_eq!(decode::<Tell>(&raw[4..]).unwrap(), output);
+        prop_assert_eq!(decode::<Frame>(&raw[4..]).unwrap(), output);
     }
 
     /// A broken peer sends any bytes at all. The process must not panic: every
@@ -34,8 +34,8 @@
     #[test]
     fn any_bytes_are_a_message_or_an_error(mut raw: Vec<u8>) {
         raw.insert(0, codec::FORMAT);
-        let _ = decode::<Tell>(&raw);
-        let _ = decode::<Ask>(&raw);
+        let _ = decode::<Frame>(&raw);
+        let _ = decode::<Command>(&raw);
     }
 }
 
@@ -59,7 +59,7 @@
 #[case::no_such_message(vec![codec::FORMAT, 200], |e: &Error| matches!(e, Error::Decode { .. }))]
 #[case::cut_off(vec![codec::FORMAT], |e: &Error| matches!(e, Error::Decode { .. }))]
 fn a_strange_frame_is_an_error(#[case] raw: Vec<u8>, #[case] fits: fn(&Error) -> bool) {
-    let error = decode::<Ask>(&raw).unwrap_err();
+    let error = decode::<Command>(&raw).unwrap_err();
     assert!(fits(&error), "{error}");
 }
 
@@ -67,8 +67,8 @@
 /// understands. To drop them silently would drop part of what a caller asked.
 #[test]
 fn bytes_after_the_message_are_an_error() {
-    let mut raw = encode(&Ask::Status).unwrap();
+    let mut raw = encode(&Command::Status).unwrap();
     raw.push(0);
-    let error = decode::<Ask>(&raw[4..]).unwrap_err();
+    let error = decode::<Command>(&raw[4..]).unwrap_err();
     assert!(matches!(error, Error::Trailing { count: 1 }), "{error}");
 }
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
-use wire::frame::{Ask, Tell};
+use wire::frame::{Command, Frame};
 use wire::{link, tls};
 
 struct Fleet {
@@ -24,7 +24,7 @@
         Fleet { folder, authority: (params, key) }
     }
 
-    fn pair(&self, vm: &str) -> tls::Pair {
+    fn pair(&self, vm: &str) -> tls::Config {
         let key = KeyPair::generate().unwrap();
         let params = CertificateParams::new(vec![vm.to_string()]).unwrap();
         let issuer = Issuer::from_params(&self.authority.0, &self.authority.1);
@@ -42,11 +42,11 @@
     }
 }
 
-fn load(authority: &Path, certificate: &Path, key: &Path) -> tls::Pair {
+fn load(authority: &Path, certificate: &Path, key: &Path) -> tls::Config {
     tls::load(authority, certificate, key).unwrap()
 }
 
-fn serve(pair: &tls::Pair) -> (quinn::Endpoint, String) {
+fn serve(pair: &tls::Config) -> (quinn::Endpoint, String) {
     let endpoint = link::bind("127.0.0.1:0".parse().unwrap(), pair).unwrap();
     let address = endpoint.local_addr().unwrap().to_string();
     let served = endpoint.clone();
@@ -54,8 +54,8 @@
         while let Some(incoming) = served.accept().await {
             let Ok(connection) = incoming.await else { continue };
             while let Some(mut stream) = link::accept(&connection).await {
-                if stream.expect::<Ask>().await.is_ok() {
-                    let _ = stream.send(&Tell::Ok).await;
+                if stream.expect::<Command>().await.is_ok() {
+                    let _ = stream.send(&Frame::Ok).await;
                     stream.finish();
                 }
             }
@@ -70,8 +70,8 @@
     let (_server, address) = serve(&fleet.pair("gpu-1"));
     let client = link::client("127.0.0.1:0".parse().unwrap(), &fleet.pair("entry-1")).unwrap();
     let connection = link::connect(&client, "gpu-1", &address).await.unwrap();
-    let mut stream = link::open(&connection, "gpu-1", &Ask::Status).await.unwrap();
-    assert_eq!(stream.expect::<Tell>().await.unwrap(), Tell::Ok);
+    let mut stream = link::open(&connection, "gpu-1", &Command::Status).await.unwrap();
+    assert_eq!(stream.expect::<Frame>().await.unwrap(), Frame::Ok);
 }
 
 /// Somebody on the network without a certificate of the fleet tries to reach an
--- a/crates/wire/tests/order.rs
+++ b/crates/wire/tests/order.rs
@@ -3,7 +3,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use wire::frame::Stage;
-use wire::order::{Claim, HOLD, Placed, valid};
+use wire::order::{CLAIM_VALIDITY, Claim, LogRecord, filter_valid};
 
 /// Seeds played.
 const SEEDS: u64 = 2000;
@@ -13,19 +13,19 @@
 }
 
 /// Claims of six agents for three gaps at random times, with one long pause.
-fn stream(rng: &mut Pcg64) -> Vec<Placed> {
+fn stream(rng: &mut Pcg64) -> Vec<LogRecord> {
     let mut time_ms = 0;
     let pause = rng.random_range(5..25);
     let placed = |offset: u64| {
         time_ms += rng.random_range(0..4000);
         if offset == pause {
-            time_ms += HOLD.as_millis() as u64;
+            time_ms += CLAIM_VALIDITY.as_millis() as u64;
         }
         let from = rng.random_bool(0.3).then(|| stage(rng.random_range(3..5)));
         let vm = format!("gpu-{}", rng.random_range(0..6));
         let claim =
             Claim { id: offset.to_string(), vm, stage: stage(rng.random_range(0..3)), from };
-        Placed { offset, time_ms, claim }
+        LogRecord { offset, time_ms, claim }
     };
     (0..30).map(placed).collect()
 }
@@ -36,10 +36,10 @@
 #[test]
 fn one_claim_counts_for_each_gap_and_donor() {
     for seed in 0..SEEDS {
-        let found = valid(stream(&mut Pcg64::seed_from_u64(seed)));
+        let found = filter_valid(stream(&mut Pcg64::seed_from_u64(seed)));
         for (i, new) in found.iter().enumerate() {
             for old in &found[..i] {
-                let recent = new.time_ms - old.time_ms < HOLD.as_millis() as u64;
+                let recent = new.time_ms - old.time_ms < CLAIM_VALIDITY.as_millis() as u64;
                 let (a, b) = (&old.claim, &new.claim);
                 let clash =
                     a.stage == b.stage || a.vm == b.vm || a.from.is_some() && a.from == b.from;
@@ -56,14 +56,18 @@
 fn readers_agree_after_a_pause() {
     for seed in 0..SEEDS {
         let all = stream(&mut Pcg64::seed_from_u64(seed));
-        let hold = HOLD.as_millis() as u64;
+        let hold = CLAIM_VALIDITY.as_millis() as u64;
         let pause = all.windows(2).rposition(|w| w[1].time_ms - w[0].time_ms >= hold).unwrap() + 1;
-        let recent = |found: Vec<Placed>| -> Vec<u64> {
+        let recent = |found: Vec<LogRecord>| -> Vec<u64> {
             found.iter().map(|p| p.offset).filter(|o| *o >= pause as u64).collect()
         };
-        let whole = recent(valid(all.clone()));
+        let whole = recent(filter_valid(all.clone()));
         for first in 0..=pause {
-            assert_eq!(recent(valid(all[first..].to_vec())), whole, "seed {seed} from {first}");
+            assert_eq!(
+                recent(filter_valid(all[first..].to_vec())),
+                whole,
+                "seed {seed} from {first}"
+            );
         }
     }
 }
