--- a/crates/agent/src/call.rs
+++ b/crates/agent/src/call.rs
@@ -52,7 +52,7 @@
 
 /// Runs a call by the contract of its route.
 pub async fn run(agent: Arc<Agent>, service: Arc<Service>, call: Call) -> Result<Reply, Refusal> {
-    if agent.leaving() {
+    if agent.is_leaving() {
         let why = "the VM is leaving";
         return Err(Refusal::not_run(Cause::Leaving, "accept", &service.vm, why));
     }
@@ -77,13 +77,13 @@
     /// Sends the call to the service once.
     pub async fn send(&self, call: &Call, _slot: Slot) -> Result<Reply, Refusal> {
         let begun = Instant::now();
-        let headers: Vec<_> = call.headers.iter().filter(|h| passed_on(&h.0)).cloned().collect();
+        let headers: Vec<_> = call.headers.iter().filter(|h| is_forwarded(&h.0)).cloned().collect();
         let body = Bytes::from(call.body.clone());
         let http = self.http.with_timeout(call.deadline);
         match http.send(&call.method, &call.path, &headers, body).await {
             Ok(answer) => {
-                self.slots.measured(begun.elapsed());
-                let headers = answer.headers.into_iter().filter(|h| passed_on(&h.0)).collect();
+                self.slots.record_time(begun.elapsed());
+                let headers = answer.headers.into_iter().filter(|h| is_forwarded(&h.0)).collect();
                 let body = answer.body.to_vec();
                 Ok(Reply { status: answer.status, headers, body, replayed: false })
             }
@@ -100,6 +100,6 @@
     }
 }
 
-fn passed_on(name: &str) -> bool {
+fn is_forwarded(name: &str) -> bool {
     !HOP_BY_HOP.iter().any(|h| name.eq_ignore_ascii_case(h))
 }
--- a/crates/agent/src/chain.rs
+++ b/crates/agent/src/chain.rs
@@ -13,22 +13,22 @@
 use wire::refusal::{Cause, Refusal};
 
 use crate::Agent;
-use crate::seat::{self, Seat, lost};
+use crate::session::{self, Session, lost};
 
 /// Extra patience for each position of a step beyond the first, for long prompts.
-const POSITION_PATIENCE: Duration = Duration::from_millis(10);
+const TIMEOUT_PER_POSITION: Duration = Duration::from_millis(10);
 
 /// Pause before a draft that ran at a crash runs alone elsewhere. Engines that
 /// die together by another cause have died by then; without it a draft that has
 /// just begun to run alone at the second of them would be held to be at fault.
-const SETTLE: Duration = Duration::from_millis(100);
+const ISOLATION_DELAY: Duration = Duration::from_millis(100);
 
 /// Pauses between rounds of looking for a replica.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
 /// What stays the same for all ranges of a draft.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct Params {
     /// The request.
     pub request: id::Request,
     /// Engine priority.
@@ -49,10 +49,10 @@
 #[derive(Debug)]
 struct Range {
     hop: Hop,
-    seat: Seat,
+    session: Session,
     place: Option<id::Vm>,
     attempt: id::Attempt,
-    kept: Vec<u64>,
+    inputs: Vec<u64>,
     /// True when the draft was running at a crash of an engine of this range.
     suspect: bool,
 }
@@ -61,7 +61,7 @@
 #[derive(Debug)]
 pub struct Chain {
     agent: Arc<Agent>,
-    terms: Terms,
+    params: Params,
     ranges: Vec<Range>,
     position: id::Position,
     /// Stages replaced so far.
@@ -75,7 +75,7 @@
     /// refusal all that was opened is closed and nothing has run.
     pub async fn open(
         agent: Arc<Agent>,
-        terms: Terms,
+        params: Params,
         hops: Vec<Hop>,
         attempt: id::Attempt,
     ) -> Result<Chain, Refusal> {
@@ -83,14 +83,14 @@
             .into_iter()
             .map(|hop| Range {
                 hop,
-                seat: Seat::Nowhere,
+                session: Session::Closed,
                 place: None,
                 attempt,
-                kept: Vec::new(),
-                suspect: terms.suspect,
+                inputs: Vec::new(),
+                suspect: params.suspect,
             })
             .collect();
-        let mut chain = Chain { agent, terms, ranges, position: 0, replaced: 0, repeated: 0 };
+        let mut chain = Chain { agent, params, ranges, position: 0, replaced: 0, repeated: 0 };
         for i in 0..chain.ranges.len() {
             chain.open_first(i).await?;
         }
@@ -102,7 +102,7 @@
             0 => vec![self.own_place()],
             _ => self.ranges[i].hop.replicas.clone(),
         };
-        self.seat(i, &places).await
+        self.open_session(i, &places).await
     }
 
     /// Runs all ranges on the next positions and returns the token after them.
@@ -126,18 +126,19 @@
             Ok(output) => output,
             Err(refusal) => self.replace(i, &step, refusal).await?,
         };
-        self.ranges[i].kept.extend(&step.inputs);
+        self.ranges[i].inputs.extend(&step.inputs);
         Ok(output)
     }
 
     /// Sends one step to where the range runs, and checks that the answer is that step's.
     async fn step(&mut self, i: usize, step: Step) -> Result<Output, Refusal> {
-        let patience = self.terms.step_timeout + POSITION_PATIENCE * (step.inputs.len() as u32 - 1);
-        let until = self.terms.deadline.min(Instant::now() + patience);
+        let timeout =
+            self.params.step_timeout + TIMEOUT_PER_POSITION * (step.inputs.len() as u32 - 1);
+        let until = self.params.deadline.min(Instant::now() + timeout);
         let (position, count) = (step.position, step.inputs.len());
         let range = &mut self.ranges[i];
         let peer = range.place.clone().unwrap_or_default();
-        let ran = timeout_at(until, range.seat.step(step)).await;
+        let ran = timeout_at(until, range.session.step(step)).await;
         let output = ran.map_err(|_| lost("step", &peer, "no answer in time"))??;
         match output.position == position && output.outputs.len() == count {
             true => Ok(output),
@@ -151,10 +152,10 @@
     async fn replace(&mut self, i: usize, step: &Step, cause: Refusal) -> Result<Output, Refusal> {
         let mut failed = Vec::new();
         let mut last = cause;
-        while Instant::now() < self.terms.deadline {
+        while Instant::now() < self.params.deadline {
             let text = format!("layers from {} are lost: {last}", self.ranges[i].hop.stage.first);
-            self.agent.node.trace.add(&self.terms.request, "replace", text);
-            if hopeless(last.cause) {
+            self.agent.node.trace.add(&self.params.request, "replace", text);
+            if is_final(last.cause) {
                 return Err(last);
             }
             let range = &mut self.ranges[i];
@@ -162,19 +163,19 @@
             // fault: run beside others again, it would take them down once more.
             range.suspect |= last.cause == Cause::Crashed;
             if last.cause == Cause::Crashed {
-                tokio::time::sleep(SETTLE).await;
+                tokio::time::sleep(ISOLATION_DELAY).await;
             }
-            range.seat = Seat::Nowhere;
+            range.session = Session::Closed;
             failed.extend(range.place.take());
             range.attempt += 1;
             let places = self.places(i, &failed);
-            let used_up = places.iter().all(|p| failed.contains(&p.vm));
+            let all_failed = places.iter().all(|p| failed.contains(&p.vm));
             match self.replay(i, &places, step).await {
                 Ok(output) => return Ok(output),
                 Err(refusal) => last = refusal,
             }
-            if used_up || self.ranges[i].place.is_none() {
-                self.look_for_more(i).await;
+            if all_failed || self.ranges[i].place.is_none() {
+                self.refresh_replicas(i).await;
                 tokio::time::sleep(ROUND_PAUSE).await;
             }
         }
@@ -183,29 +184,29 @@
     }
 
     /// Adds replicas of the range that the draft did not come with.
-    async fn look_for_more(&mut self, i: usize) {
-        let found = seat::ask_router(&self.agent, &self.ranges[i].hop.stage).await;
+    async fn refresh_replicas(&mut self, i: usize) {
+        let found = session::query_replicas(&self.agent, &self.ranges[i].hop.stage).await;
         let known = &mut self.ranges[i].hop.replicas;
         known.retain(|k| !found.iter().any(|f| f.vm == k.vm));
         known.splice(0..0, found);
     }
 
     async fn replay(&mut self, i: usize, places: &[Place], step: &Step) -> Result<Output, Refusal> {
-        self.seat(i, places).await?;
-        let kept = self.ranges[i].kept.len();
-        let inputs = [&self.ranges[i].kept[..], &step.inputs].concat();
-        let whole = self.step(i, Step { position: 0, inputs }).await?;
+        self.open_session(i, places).await?;
+        let count = self.ranges[i].inputs.len();
+        let inputs = [&self.ranges[i].inputs[..], &step.inputs].concat();
+        let replayed = self.step(i, Step { position: 0, inputs }).await?;
         self.ranges[i].suspect = false;
         let stage = &self.ranges[i].hop.stage;
         let layers = u64::from(stage.last - stage.first + 1);
         self.replaced += 1;
-        self.repeated += kept as u64 * layers;
+        self.repeated += count as u64 * layers;
         let text = format!("layers from {} go on at {:?}", stage.first, self.ranges[i].place);
-        self.agent.node.trace.add(&self.terms.request, "replace", text);
+        self.agent.node.trace.add(&self.params.request, "replace", text);
         Ok(Output {
             position: step.position,
-            outputs: whole.outputs[kept..].to_vec(),
-            token: whole.token,
+            outputs: replayed.outputs[count..].to_vec(),
+            token: replayed.token,
         })
     }
 
@@ -220,19 +221,19 @@
     }
 
     /// Opens a session of the range at the first of the places that has room.
-    async fn seat(&mut self, i: usize, places: &[Place]) -> Result<(), Refusal> {
+    async fn open_session(&mut self, i: usize, places: &[Place]) -> Result<(), Refusal> {
         let range = &self.ranges[i];
         let open = Open {
-            request: self.terms.request.clone(),
+            request: self.params.request.clone(),
             attempt: range.attempt,
             stage: range.hop.stage.clone(),
-            priority: self.terms.priority,
-            fingerprint: self.terms.fingerprint,
-            tag: self.terms.tag.clone(),
+            priority: self.params.priority,
+            fingerprint: self.params.fingerprint,
+            tag: self.params.tag.clone(),
             suspect: range.suspect,
         };
-        let (seat, place) = seat::open_any(&self.agent, places, &open).await?;
-        self.ranges[i].seat = seat;
+        let (session, place) = session::open_any(&self.agent, places, &open).await?;
+        self.ranges[i].session = session;
         self.ranges[i].place = Some(place.vm);
         Ok(())
     }
@@ -244,6 +245,6 @@
 }
 
 /// True when trying elsewhere is of no use or would do harm.
-fn hopeless(cause: Cause) -> bool {
+fn is_final(cause: Cause) -> bool {
     matches!(cause, Cause::Quarantined | Cause::Fenced | Cause::Cancelled)
 }
--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -17,12 +17,12 @@
 use wire::refusal::{Cause, Refusal};
 
 /// Engine processes remembered as crashed.
-const REMEMBERED: usize = 64;
+const MAX_REPORTED_CRASHES: usize = 64;
 
 /// Time for all daemons to hear of a quarantine before its caller does: the
 /// caller may send the request again at once, through a router that does not
 /// know yet, and take down one more engine.
-pub const SPREAD: Duration = Duration::from_millis(200);
+pub const PROPAGATION_DELAY: Duration = Duration::from_millis(200);
 
 /// A step in progress.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
     incarnation: String,
     running: Running,
     /// True once it was named as running at a crash.
-    named: bool,
+    in_crash: bool,
 }
 
 #[derive(Debug, Default)]
@@ -39,52 +39,52 @@
     count: u64,
     steps: Vec<Step>,
     /// Incarnations of engines whose crash has been told, oldest first.
-    told: Vec<String>,
+    reported: Vec<String>,
 }
 
 /// Steps in progress at the engine, and its crashes.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct Monitor {
     state: Mutex<State>,
     /// Held for reading by every step, for writing by a step that runs alone.
-    alone: RwLock<()>,
+    exclusive: RwLock<()>,
 }
 
 /// A step in progress until this is dropped.
 #[derive(Debug)]
-pub struct Entry<'a> {
-    watch: &'a Watch,
+pub struct StepGuard<'a> {
+    monitor: &'a Monitor,
     number: u64,
 }
 
 /// The right to run a step, with others beside it or alone.
 #[derive(Debug)]
-pub enum Right<'a> {
+pub enum Permit<'a> {
     /// Others may run too.
-    Beside(RwLockReadGuard<'a, ()>),
+    Shared(RwLockReadGuard<'a, ()>),
     /// Nothing else runs.
-    Alone(RwLockWriteGuard<'a, ()>),
+    Exclusive(RwLockWriteGuard<'a, ()>),
 }
 
-impl Watch {
+impl Monitor {
     /// Waits until a step may run.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use agent::crash::{Right, Watch};
-    /// let watch = Watch::default();
-    /// assert!(matches!(watch.right(true).await, Right::Alone(_)));
+    /// use agent::crash::{Permit, Monitor};
+    /// let monitor = Monitor::default();
+    /// assert!(matches!(monitor.acquire(true).await, Permit::Exclusive(_)));
     /// # });
     /// ```
-    pub async fn right(&self, alone: bool) -> Right<'_> {
-        match alone {
-            true => Right::Alone(self.alone.write().await),
-            false => Right::Beside(self.alone.read().await),
+    pub async fn acquire(&self, exclusive: bool) -> Permit<'_> {
+        match exclusive {
+            true => Permit::Exclusive(self.exclusive.write().await),
+            false => Permit::Shared(self.exclusive.read().await),
         }
     }
 
     /// Notes that a step goes to the engine.
-    pub fn enter(&self, incarnation: &str, running: Running) -> Entry<'_> {
+    pub fn begin_step(&self, incarnation: &str, running: Running) -> StepGuard<'_> {
         let mut state = self.state.lock().expect("no panic while held");
         state.count += 1;
         let number = state.count;
@@ -92,56 +92,56 @@
             number,
             incarnation: incarnation.to_string(),
             running,
-            named: false,
+            in_crash: false,
         });
-        Entry { watch: self, number }
+        StepGuard { monitor: self, number }
     }
 
     /// Tells the fleet of the crash of an engine process, once for each.
-    pub fn crashed(&self, node: &Node, incarnation: &str) {
+    pub fn report_crash(&self, node: &Node, incarnation: &str) {
         let running = {
             let mut state = self.state.lock().expect("no panic while held");
-            if state.told.iter().any(|i| i == incarnation) {
+            if state.reported.iter().any(|i| i == incarnation) {
                 return;
             }
-            if state.told.len() == REMEMBERED {
-                state.told.remove(0);
+            if state.reported.len() == MAX_REPORTED_CRASHES {
+                state.reported.remove(0);
             }
-            state.told.push(incarnation.to_string());
+            state.reported.push(incarnation.to_string());
             let ran = state.steps.iter_mut().filter(|s| s.incarnation == incarnation);
-            let name = |step: &mut Step| {
-                step.named = true;
+            let mark = |step: &mut Step| {
+                step.in_crash = true;
                 step.running.clone()
             };
-            ran.map(name).collect()
+            ran.map(mark).collect()
         };
         node.metrics.crashes.add(1, &[]);
         node.quarantine.crashed(incarnation, running);
     }
 }
 
-impl Entry<'_> {
+impl StepGuard<'_> {
     /// True when the engine crashed while the step was in progress. What was
     /// begun later never reached that engine, and its loss proves nothing.
-    pub fn named(&self) -> bool {
-        let state = self.watch.state.lock().expect("no panic while held");
-        state.steps.iter().any(|s| s.number == self.number && s.named)
+    pub fn in_crash(&self) -> bool {
+        let state = self.monitor.state.lock().expect("no panic while held");
+        state.steps.iter().any(|s| s.number == self.number && s.in_crash)
     }
 }
 
-impl Drop for Entry<'_> {
+impl Drop for StepGuard<'_> {
     fn drop(&mut self) {
-        let mut state = self.watch.state.lock().expect("no panic while held");
+        let mut state = self.monitor.state.lock().expect("no panic while held");
         state.steps.retain(|s| s.number != self.number);
     }
 }
 
 /// What to answer for a step that was in progress at a crash.
-pub async fn verdict(node: &Node, fingerprint: Fingerprint) -> Refusal {
+pub async fn step_refusal(node: &Node, fingerprint: Fingerprint) -> Refusal {
     let vm = &node.process.vm;
     match node.quarantine.verdict(fingerprint) {
         Verdict::Refused { left } => {
-            tokio::time::sleep(SPREAD).await;
+            tokio::time::sleep(PROPAGATION_DELAY).await;
             refusal(vm, "step", left)
         }
         _ => Refusal::unknown(Cause::Crashed, "step", vm, "the engine crashed while it ran"),
--- a/crates/agent/src/draft.rs
+++ b/crates/agent/src/draft.rs
@@ -14,19 +14,19 @@
 use wire::link::Stream;
 use wire::refusal::{Cause, Refusal};
 
-use crate::chain::{Chain, Terms};
+use crate::chain::{Chain, Params};
 use crate::{Agent, crash};
 
 /// A draft that nobody has followed for this long is given up: its caller has
 /// gone together with its router. Long enough for a caller to notice a broken
 /// connection and come back through the balancer.
-const ORPHAN: Duration = Duration::from_secs(15);
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// How often followers are counted.
-const LOOK: Duration = Duration::from_millis(500);
+const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Characters of the prompt shown to operators.
-const TAG_LENGTH: usize = 60;
+const MAX_TAG_CHARS: usize = 60;
 
 /// How far a draft has come.
 #[derive(Debug, Default, Clone)]
@@ -102,11 +102,11 @@
 }
 
 /// Follows a draft for a caller that has `after` tokens already.
-pub async fn attach(agent: Arc<Agent>, ask: Attach, mut stream: Stream) {
+pub async fn attach(agent: Arc<Agent>, command: Attach, mut stream: Stream) {
     let vm = &agent.node.process.vm;
-    let found = agent.drafts.find(&ask.request, &ask.workspace);
+    let found = agent.drafts.find(&command.request, &command.workspace);
     let sent = match found {
-        Some(run) if ask.after < run.offset => {
+        Some(run) if command.after < run.offset => {
             let why = format!("tokens before {} are kept by nobody", run.offset);
             let refusal = Refusal::refused(Cause::NotFound, "attach", vm, why);
             stream.send(&Frame::Refused(refusal)).await
@@ -114,7 +114,7 @@
         Some(run) => {
             let accepted = Accepted { prompt_tokens: run.prompt_tokens };
             if stream.send(&Frame::Accepted(accepted)).await.is_ok() {
-                follow(&run, ask.after, stream).await;
+                follow(&run, command.after, stream).await;
             }
             return;
         }
@@ -131,16 +131,16 @@
 }
 
 /// Gives up a draft whose caller has gone.
-pub fn cancel(agent: &Agent, ask: &Cancel) {
-    if let Some(run) = agent.drafts.find(&ask.request, &ask.workspace) {
-        agent.node.trace.add(&ask.request, "cancel", "the caller has gone");
+pub fn cancel(agent: &Agent, command: &Cancel) {
+    if let Some(run) = agent.drafts.find(&command.request, &command.workspace) {
+        agent.node.trace.add(&command.request, "cancel", "the caller has gone");
         run.cancelled.send_replace(true);
     }
 }
 
 async fn begin(agent: &Arc<Agent>, draft: Draft) -> Result<Arc<Run>, Refusal> {
     let vm = &agent.node.process.vm;
-    if agent.leaving() {
+    if agent.is_leaving() {
         let why = "the VM is leaving";
         return Err(Refusal::not_run(Cause::Leaving, "accept", vm, why));
     }
@@ -155,7 +155,7 @@
     inputs.extend(&draft.delivered);
 
     let chain =
-        Chain::open(agent.clone(), terms(agent, &draft), draft.chain.clone(), draft.attempt)
+        Chain::open(agent.clone(), params(agent, &draft), draft.chain.clone(), draft.attempt)
             .await?;
     let run = Arc::new(Run {
         request: draft.request.clone(),
@@ -175,15 +175,15 @@
     Ok(run)
 }
 
-fn terms(agent: &Agent, draft: &Draft) -> Terms {
-    let force = agent.node.settings.borrow();
-    Terms {
+fn params(agent: &Agent, draft: &Draft) -> Params {
+    let settings = agent.node.settings.borrow();
+    Params {
         request: draft.request.clone(),
         priority: draft.priority,
         fingerprint: draft.fingerprint,
         suspect: draft.suspect,
-        tag: draft.prompt.chars().take(TAG_LENGTH).collect(),
-        step_timeout: force.fleet.defaults.step_timeout,
+        tag: draft.prompt.chars().take(MAX_TAG_CHARS).collect(),
+        step_timeout: settings.fleet.defaults.step_timeout,
         deadline: Instant::now() + draft.deadline,
     }
 }
@@ -193,8 +193,8 @@
     let mut cancelled = run.cancelled.subscribe();
     let generated = tokio::select! {
         end = generate(&run, &mut chain, inputs, draft.max_tokens) => end,
-        _ = cancelled.wait_for(|c| *c) => Err(given_up(&agent, "the caller cancelled it")),
-        () = orphaned(&run) => Err(given_up(&agent, "its caller has gone")),
+        _ = cancelled.wait_for(|c| *c) => Err(cancelled_refusal(&agent, "the caller cancelled it")),
+        () = wait_until_orphaned(&run) => Err(cancelled_refusal(&agent, "its caller has gone")),
     };
     let end =
         generated.map(|tokens| Done { tokens, replaced: chain.replaced, repeated: chain.repeated });
@@ -234,22 +234,22 @@
     Ok(count)
 }
 
-/// Resolves when nobody has followed the draft for [`ORPHAN`].
-async fn orphaned(run: &Run) {
+/// Resolves when nobody has followed the draft for [`ORPHAN_TIMEOUT`].
+async fn wait_until_orphaned(run: &Run) {
     let mut since = Instant::now();
     loop {
         // `drive` itself does not subscribe to the progress.
         if run.progress.receiver_count() > 0 {
             since = Instant::now();
         }
-        if since.elapsed() > ORPHAN {
+        if since.elapsed() > ORPHAN_TIMEOUT {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(FOLLOWER_CHECK_INTERVAL).await;
     }
 }
 
-fn given_up(agent: &Agent, why: &str) -> Refusal {
+fn cancelled_refusal(agent: &Agent, why: &str) -> Refusal {
     Refusal::unknown(Cause::Cancelled, "generate", &agent.node.process.vm, why)
 }
 
@@ -258,11 +258,11 @@
     let mut progress = run.progress.subscribe();
     let mut sent = (after - run.offset) as usize;
     loop {
-        let (news, end) = {
+        let (new, end) = {
             let now = progress.borrow_and_update();
             (now.samples.get(sent..).unwrap_or_default().to_vec(), now.end.clone())
         };
-        for sample in news {
+        for sample in new {
             let index = run.offset + sent as u32;
             if stream.send(&Frame::Token(Token { index, sample })).await.is_err() {
                 return;
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -7,11 +7,11 @@
 /// Highest attempts remembered for requests whose session has ended here. A
 /// frozen head that thaws after this many newer requests could open an old
 /// attempt again; its output would still be used by nobody.
-pub const REMEMBERED: usize = 20_000;
+pub const MAX_ENTRIES: usize = 20_000;
 
 /// Highest attempt seen of a request at a range.
 #[derive(Debug, Clone)]
-struct Seen {
+struct Entry {
     key: String,
     attempt: id::Attempt,
     ended: Option<Instant>,
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Fence {
     /// Sorted by key.
-    seen: Vec<Seen>,
+    entries: Vec<Entry>,
 }
 
 impl Fence {
@@ -37,16 +37,16 @@
     /// assert_eq!(fence.admit("a", 1), Err(2));
     /// ```
     pub fn admit(&mut self, key: &str, attempt: id::Attempt) -> Result<(), id::Attempt> {
-        match self.at(key) {
-            Ok(i) if self.seen[i].attempt > attempt => return Err(self.seen[i].attempt),
+        match self.position(key) {
+            Ok(i) if self.entries[i].attempt > attempt => return Err(self.entries[i].attempt),
             Ok(i) => {
-                self.seen[i].attempt = attempt;
-                self.seen[i].ended = None;
+                self.entries[i].attempt = attempt;
+                self.entries[i].ended = None;
             }
             Err(_) => {
-                self.forget_old();
-                let at = self.seen.partition_point(|s| s.key.as_str() < key);
-                self.seen.insert(at, Seen { key: key.to_string(), attempt, ended: None });
+                self.evict_ended();
+                let at = self.entries.partition_point(|s| s.key.as_str() < key);
+                self.entries.insert(at, Entry { key: key.to_string(), attempt, ended: None });
             }
         }
         Ok(())
@@ -54,29 +54,29 @@
 
     /// The highest attempt seen; 0 when there was none.
     pub fn newest(&self, key: &str) -> id::Attempt {
-        self.at(key).map_or(0, |i| self.seen[i].attempt)
+        self.position(key).map_or(0, |i| self.entries[i].attempt)
     }
 
     /// A session has ended at `now`; its attempt may be forgotten some time later.
     pub fn ended(&mut self, key: &str, now: Instant) {
-        if let Ok(i) = self.at(key) {
-            self.seen[i].ended = Some(now);
+        if let Ok(i) = self.position(key) {
+            self.entries[i].ended = Some(now);
         }
     }
 
-    fn at(&self, key: &str) -> Result<usize, usize> {
-        self.seen.binary_search_by(|s| s.key.as_str().cmp(key))
+    fn position(&self, key: &str) -> Result<usize, usize> {
+        self.entries.binary_search_by(|s| s.key.as_str().cmp(key))
     }
 
     /// Makes room by forgetting the sessions that ended first.
-    fn forget_old(&mut self) {
-        if self.seen.len() < REMEMBERED {
+    fn evict_ended(&mut self) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let mut times: Vec<Instant> = self.seen.iter().filter_map(|s| s.ended).collect();
+        let mut times: Vec<Instant> = self.entries.iter().filter_map(|s| s.ended).collect();
         times.sort();
         if let Some(&limit) = times.get(times.len() / 2) {
-            self.seen.retain(|s| s.ended.is_none_or(|t| t > limit));
+            self.entries.retain(|s| s.ended.is_none_or(|t| t > limit));
         }
     }
 }
--- a/crates/agent/src/ask.rs
+++ b/crates/agent/src/handler.rs
@@ -11,17 +11,17 @@
 use crate::{Agent, call, draft, stage};
 
 /// Pause between looks for a change that routers have to hear of at once.
-const LOOK: Duration = Duration::from_millis(25);
+const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Answers one stream.
-pub async fn answer(agent: Arc<Agent>, ask: Command, mut stream: Stream) {
-    let _work = match ask {
+pub async fn handle(agent: Arc<Agent>, command: Command, mut stream: Stream) {
+    let _work = match command {
         Command::Draft(_) | Command::Attach(_) | Command::Open(_) | Command::Call(_) => {
             Some(agent.work.begin())
         }
         _ => None,
     };
-    match ask {
+    match command {
         Command::Watch(watch) => report(agent, watch, stream).await,
         Command::Draft(draft) => draft::run(agent, draft, stream).await,
         Command::Attach(attach) => draft::attach(agent, attach, stream).await,
@@ -32,17 +32,17 @@
         Command::Open(open) => match agent.stage.clone() {
             Some(table) => serve_stage(&agent, table, open, stream).await,
             None => {
-                let tell = Frame::Refused(nothing_here(&agent, "open"));
-                reply(&mut stream, tell).await;
+                let frame = Frame::Refused(no_backend(&agent, "open"));
+                reply(&mut stream, frame).await;
             }
         },
         Command::Call(call) => {
-            let tell = match &agent.service {
+            let frame = match &agent.service {
                 Some(service) => call::run(agent.clone(), service.clone(), call).await,
-                None => Err(nothing_here(&agent, "call")),
+                None => Err(no_backend(&agent, "call")),
             };
-            let tell = tell.map_or_else(Frame::Refused, Frame::Reply);
-            reply(&mut stream, tell).await;
+            let frame = frame.map_or_else(Frame::Refused, Frame::Reply);
+            reply(&mut stream, frame).await;
         }
         Command::Status => {
             let text = status(&agent).to_string();
@@ -55,17 +55,17 @@
     }
 }
 
-async fn reply(stream: &mut Stream, tell: Frame) {
-    match stream.send(&tell).await {
+async fn reply(stream: &mut Stream, frame: Frame) {
+    match stream.send(&frame).await {
         Ok(()) => {
             stream.finish();
             stream.stopped().await;
         }
-        Err(e) => log::debug!("ask: {e}"),
+        Err(e) => log::debug!("command: {e}"),
     }
 }
 
-fn nothing_here(agent: &Agent, step: &str) -> Refusal {
+fn no_backend(agent: &Agent, step: &str) -> Refusal {
     let why = "no such backend server stands here";
     Refusal::not_run(Cause::Unavailable, step, &agent.node.process.vm, why)
 }
@@ -84,11 +84,11 @@
         let interval = agent.node.settings.borrow().fleet.defaults.report_interval;
         let due = tokio::time::Instant::now() + interval;
         while tokio::time::Instant::now() < due {
-            tokio::time::sleep(LOOK.min(interval)).await;
+            tokio::time::sleep(CHANGE_CHECK_INTERVAL.min(interval)).await;
             let freed = sent.busy >= sent.slots && agent.slots.busy() < agent.slots.open();
             let refused = agent.node.quarantine.lists().1;
-            let news = agent.leaving() != sent.leaving || refused != sent.quarantined;
-            if freed || news || agent.backend() != sent.backend {
+            let changed = agent.is_leaving() != sent.leaving || refused != sent.quarantined;
+            if freed || changed || agent.backend() != sent.backend {
                 break;
             }
         }
@@ -99,7 +99,7 @@
 async fn serve_stage(agent: &Agent, table: Arc<stage::Table>, open: Open, mut stream: Stream) {
     // A replacement is let in by a leaving agent too: it serves a draft in progress.
     let fresh = open.attempt.is_multiple_of(wire::frame::HEAD_STRIDE);
-    let opened = match fresh && agent.leaving() {
+    let opened = match fresh && agent.is_leaving() {
         true => Err(Refusal::not_run(
             Cause::Leaving,
             "open",
@@ -118,11 +118,11 @@
     while let Ok(Some(Frame::Step(step))) = stream.next().await {
         // A head that has given this stage up no longer reads: without this the
         // slot would stay taken as long as the engine hangs.
-        let tell = tokio::select! {
+        let frame = tokio::select! {
             ran = session.step(step) => ran.map_or_else(Frame::Refused, Frame::Output),
             () = stream.stopped() => return,
         };
-        if stream.send(&tell).await.is_err() {
+        if stream.send(&frame).await.is_err() {
             return;
         }
     }
@@ -130,15 +130,15 @@
 
 fn status(agent: &Agent) -> serde_json::Value {
     let process = &agent.node.process;
-    let force = agent.node.settings.borrow();
+    let settings = agent.node.settings.borrow();
     let backend = match agent.backend() {
         Backend::None => "none".to_string(),
         Backend::Stage(s) => format!("{} v{} layers {}-{}", s.model, s.version, s.first, s.last),
         Backend::Service(name) => format!("service {name}"),
     };
     let state = match () {
-        () if agent.leaving() => "draining",
-        () if !force.caught_up || backend == "none" => "starting",
+        () if agent.is_leaving() => "draining",
+        () if !settings.caught_up || backend == "none" => "starting",
         () => "serving",
     };
     json!({
@@ -146,7 +146,7 @@
         "role": "agent",
         "data_centre": process.data_centre,
         "incarnation": agent.node.incarnation,
-        "version": force.version,
+        "version": settings.version,
         "state": state,
         "busy": agent.slots.busy(),
         "slots": agent.slots.total(),
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -7,7 +7,7 @@
 //!
 //! Records expire, so a reader may not have seen the intent that was first. It
 //! lets nothing run until it is *complete*: it has read the stream from its start,
-//! or has taken up what another complete reader carried and judged from there on.
+//! or has taken up what another complete reader carried and read_end from there on.
 //! `docs/design/writes.md` has the argument.
 //!
 //! The contract (key, fingerprint, receipt, replay, conflict) follows the paper
@@ -15,15 +15,15 @@
 //! is here a stream of the platform's log.
 
 mod entry;
-mod late;
+mod catch_up;
 mod record;
 
-pub use entry::{Anew, Answer, BODY_KEPT, Batch, Body, Carry, Entry};
-pub use entry::{Intent, Kept, Mark, Receipt, Try};
+pub use entry::{Answer, Batch, Body, CheckpointRecord, Entry, MAX_KEPT_BODY_BYTES, Reset};
+pub use entry::{CheckpointEnd, Intent, Receipt, TryId, TryRef};
 
 pub use record::{Record, State};
 
-use late::{Base, Late, Waiting};
+use catch_up::{CatchUp, Checkpoint, Pending};
 use wire::id;
 
 /// Shards of the table, so that an insertion moves few records.
@@ -39,11 +39,11 @@
     /// Next offset to read.
     pub next: u64,
     /// What has been read while this reader is not complete.
-    late: Option<Late>,
+    catch_up: Option<CatchUp>,
     /// Newest offset before which everything has been carried.
-    kept: u64,
-    /// Offset after the newest record with an intent or a `Kept`: somebody could judge.
-    active: u64,
+    checkpointed: u64,
+    /// Offset after the newest record with an intent or a `CheckpointEnd`: somebody could judge.
+    last_active: u64,
     /// Writes older than this have been forgotten, by the log's clock.
     cutoff_ms: u64,
     /// The log's clock at the last record.
@@ -63,9 +63,9 @@
             shards: vec![Vec::new(); SHARDS],
             starts: Vec::new(),
             next: 0,
-            late: None,
-            kept: 0,
-            active: 0,
+            catch_up: None,
+            checkpointed: 0,
+            last_active: 0,
             cutoff_ms: 0,
             time_ms: 0,
             undecodable: 0,
@@ -80,14 +80,14 @@
     ///
     /// ```
     /// let mut ledger = agent::ledger::Ledger::new();
-    /// assert!(ledger.skip(7) && !ledger.complete());
+    /// assert!(ledger.skip_expired(7) && !ledger.is_complete());
     /// ```
-    pub fn skip(&mut self, first_kept: u64) -> bool {
+    pub fn skip_expired(&mut self, first_kept: u64) -> bool {
         let gap = first_kept > self.next;
         if gap {
             let undecodable = self.undecodable;
-            let late = Some(Late::new(first_kept));
-            *self = Ledger { next: first_kept, late, undecodable, ..Ledger::new() };
+            let catch_up = Some(CatchUp::new(first_kept));
+            *self = Ledger { next: first_kept, catch_up, undecodable, ..Ledger::new() };
         }
         gap
     }
@@ -96,20 +96,20 @@
     /// lets no write run.
     ///
     /// ```
-    /// assert!(agent::ledger::Ledger::new().complete());
+    /// assert!(agent::ledger::Ledger::new().is_complete());
     /// ```
-    pub fn complete(&self) -> bool {
-        self.late.is_none()
+    pub fn is_complete(&self) -> bool {
+        self.catch_up.is_none()
     }
 
     /// Offset after the newest record that shows that somebody could judge: an intent, or all
     /// that an agent knew.
     ///
     /// ```
-    /// assert_eq!(agent::ledger::Ledger::new().active(), 0);
+    /// assert_eq!(agent::ledger::Ledger::new().last_active(), 0);
     /// ```
-    pub fn active(&self) -> u64 {
-        self.active
+    pub fn last_active(&self) -> u64 {
+        self.last_active
     }
 
     /// What a late reader appends when [`Ledger::active`] has not moved for the key window:
@@ -121,29 +121,29 @@
     ///
     /// ```
     /// let mut ledger = agent::ledger::Ledger::new();
-    /// assert!(ledger.anew().is_none());
-    /// ledger.skip(7);
-    /// assert_eq!(ledger.anew().unwrap().judged, 7);
+    /// assert!(ledger.reset_entry().is_none());
+    /// ledger.skip_expired(7);
+    /// assert_eq!(ledger.reset_entry().unwrap().read_end, 7);
     /// ```
-    pub fn anew(&self) -> Option<Anew> {
-        (!self.complete()).then_some(Anew { judged: self.next })
+    pub fn reset_entry(&self) -> Option<Reset> {
+        (!self.is_complete()).then_some(Reset { read_end: self.next })
     }
 
     /// Newest offset before which everything has been carried.
     ///
     /// ```
-    /// assert_eq!(agent::ledger::Ledger::new().kept(), 0);
+    /// assert_eq!(agent::ledger::Ledger::new().checkpointed(), 0);
     /// ```
-    pub fn kept(&self) -> u64 {
-        self.kept
+    pub fn checkpointed(&self) -> u64 {
+        self.checkpointed
     }
 
     /// The latest incarnation whose start was read for a VM.
     ///
     /// ```
-    /// assert_eq!(agent::ledger::Ledger::new().started("desk-1"), None);
+    /// assert_eq!(agent::ledger::Ledger::new().incarnation_of("desk-1"), None);
     /// ```
-    pub fn started(&self, vm: &str) -> Option<id::Incarnation> {
+    pub fn incarnation_of(&self, vm: &str) -> Option<id::Incarnation> {
         let i = self.starts.binary_search_by(|s| s.0.as_str().cmp(vm)).ok()?;
         Some(self.starts[i].1)
     }
@@ -155,56 +155,56 @@
     /// one: it would take writes and refuse every one of them after a wait.
     ///
     /// ```
-    /// assert!(!agent::ledger::Ledger::new().ready(&("desk-1".into(), 1)));
+    /// assert!(!agent::ledger::Ledger::new().is_ready(&("desk-1".into(), 1)));
     /// ```
-    pub fn ready(&self, owner: &(id::Vm, id::Incarnation)) -> bool {
-        self.complete() && self.started(&owner.0) == Some(owner.1)
+    pub fn is_ready(&self, owner: &(id::Vm, id::Incarnation)) -> bool {
+        self.is_complete() && self.incarnation_of(&owner.0) == Some(owner.1)
     }
 
     /// Whether a try of `owner` runs: `None` while its intent has not been read.
     ///
     /// ```
     /// let owner = ("desk-1".to_string(), 1);
-    /// assert_eq!(agent::ledger::Ledger::new().runs("w/k", "t", &owner), None);
+    /// assert_eq!(agent::ledger::Ledger::new().is_first("w/k", "t", &owner), None);
     /// ```
-    pub fn runs(&self, key: &str, id: &str, owner: &(id::Vm, id::Incarnation)) -> Option<bool> {
+    pub fn is_first(&self, key: &str, id: &str, owner: &(id::Vm, id::Incarnation)) -> Option<bool> {
         let record = self.find(key)?;
         let first = record.id == id && record.owner == *owner && record.state == State::Open;
-        Some(first && self.ready(owner))
+        Some(first && self.is_ready(owner))
     }
 
     /// True when records should be carried: some have expired that nobody has carried
     /// (`Some(true)`), or the older half of what the log keeps has not been carried yet.
     ///
     /// ```
-    /// assert_eq!(agent::ledger::Ledger::new().due(0, 100), None);
+    /// assert_eq!(agent::ledger::Ledger::new().checkpoint_due(0, 100), None);
     /// ```
-    pub fn due(&self, first_kept: u64, next: u64) -> Option<bool> {
+    pub fn checkpoint_due(&self, first_kept: u64, next: u64) -> Option<bool> {
         match () {
-            () if !self.complete() || first_kept == 0 => None,
-            () if self.kept < first_kept => Some(true),
-            () if self.kept < first_kept + (next - first_kept) / 2 => Some(false),
+            () if !self.is_complete() || first_kept == 0 => None,
+            () if self.checkpointed < first_kept => Some(true),
+            () if self.checkpointed < first_kept + (next - first_kept) / 2 => Some(false),
             () => None,
         }
     }
 
     /// All that is known, to be appended again: the writes, and after all of them stand in
-    /// the log, the `Kept`. `None` while this reader is not complete and might miss some.
+    /// the log, the `CheckpointEnd`. `None` while this reader is not complete and might miss some.
     ///
     /// ```
-    /// let (carried, kept) = agent::ledger::Ledger::new().carry(1_000).unwrap();
-    /// assert!(carried.is_empty() && kept.judged == 0);
+    /// let (carried, kept) = agent::ledger::Ledger::new().checkpoint(1_000).unwrap();
+    /// assert!(carried.is_empty() && end.read_end == 0);
     /// ```
-    pub fn carry(&self, window_ms: u64) -> Option<(Vec<Carry>, Kept)> {
-        if !self.complete() {
+    pub fn checkpoint(&self, window_ms: u64) -> Option<(Vec<CheckpointRecord>, CheckpointEnd)> {
+        if !self.is_complete() {
             return None;
         }
-        let judged = self.next;
-        let records = self.shards.iter().flatten().cloned();
-        let carried: Vec<_> = records.map(|record| Carry { judged, record }).collect();
+        let read_end = self.next;
+        let known = self.shards.iter().flatten().cloned();
+        let records: Vec<_> = known.map(|record| CheckpointRecord { read_end, record }).collect();
         let cutoff_ms = self.time_ms.saturating_sub(window_ms).max(self.cutoff_ms);
-        let (count, starts) = (carried.len(), self.starts.clone());
-        Some((carried, Kept { judged, count, starts, cutoff_ms }))
+        let (count, starts) = (records.len(), self.starts.clone());
+        Some((records, CheckpointEnd { read_end, count, starts, cutoff_ms }))
     }
 
     /// What is known of a key.
@@ -238,22 +238,22 @@
                 return;
             }
         };
-        if self.begins_anew(&batch) {
-            (self.late, self.kept) = (None, offset);
+        if self.is_reset(&batch) {
+            (self.catch_up, self.checkpointed) = (None, offset);
             self.starts.clear();
             self.shards.iter_mut().for_each(Vec::clear);
             return;
         }
-        if batch.entries.iter().any(|e| matches!(e, Entry::Intent(_) | Entry::Kept(_))) {
-            self.active = offset + 1;
+        if batch.entries.iter().any(|e| matches!(e, Entry::Intent(_) | Entry::CheckpointEnd(_))) {
+            self.last_active = offset + 1;
         }
-        let record = Waiting { offset, time_ms, batch };
-        let base = match &mut self.late {
-            Some(late) => late.read(record),
-            None => return self.judge(record),
+        let record = Pending { offset, time_ms, batch };
+        let checkpoint = match &mut self.catch_up {
+            Some(catch_up) => catch_up.add(record),
+            None => return self.apply_batch(record),
         };
-        if let Some(base) = base {
-            self.take_up(base);
+        if let Some(checkpoint) = checkpoint {
+            self.restore(checkpoint);
         }
     }
 
@@ -278,33 +278,34 @@
     /// True for a record after which all know nothing. A process that thaws and can judge may
     /// have appended an intent that the author had not read; then it does not count. Whoever
     /// has read all since the author looked comes to the same verdict, others stay late.
-    fn begins_anew(&self, batch: &Batch) -> bool {
-        let read = |anew: &Anew| self.late.as_ref().is_none_or(|late| late.has(anew.judged));
-        let counts = |anew: &Anew| read(anew) && self.active <= anew.judged;
-        batch.entries.iter().any(|e| matches!(e, Entry::Anew(anew) if counts(anew)))
+    fn is_reset(&self, batch: &Batch) -> bool {
+        let read =
+            |reset: &Reset| self.catch_up.as_ref().is_none_or(|c| c.has_read_from(reset.read_end));
+        let counts = |reset: &Reset| read(reset) && self.last_active <= reset.read_end;
+        batch.entries.iter().any(|e| matches!(e, Entry::Reset(reset) if counts(reset)))
     }
 
-    fn judge(&mut self, record: Waiting) {
+    fn apply_batch(&mut self, record: Pending) {
         let owner = (record.batch.vm, record.batch.incarnation);
         for entry in record.batch.entries {
-            self.enter(&owner, record.time_ms, entry);
+            self.apply_entry(&owner, record.time_ms, entry);
         }
     }
 
     /// Takes up what the author of carried writes knew, and judges from there on.
-    fn take_up(&mut self, base: Base) {
-        self.late = None;
-        self.starts = base.kept.starts;
-        base.records.into_iter().for_each(|record| self.add(record));
-        base.waiting.into_iter().for_each(|waiting| self.judge(waiting));
+    fn restore(&mut self, checkpoint: Checkpoint) {
+        self.catch_up = None;
+        self.starts = checkpoint.end.starts;
+        checkpoint.records.into_iter().for_each(|record| self.add(record));
+        checkpoint.pending.into_iter().for_each(|pending| self.apply_batch(pending));
     }
 
-    fn enter(&mut self, owner: &(id::Vm, id::Incarnation), time_ms: u64, entry: Entry) {
+    fn apply_entry(&mut self, owner: &(id::Vm, id::Incarnation), time_ms: u64, entry: Entry) {
         match entry {
             Entry::Start => self.start(owner),
-            Entry::Intent(intent) if !self.outdated(owner) => self.add(Record {
+            Entry::Intent(intent) if !self.is_outdated(owner) => self.add(Record {
                 key: intent.key,
-                print: intent.print,
+                content_hash: intent.content_hash,
                 id: intent.id,
                 owner: owner.clone(),
                 time_ms,
@@ -314,12 +315,12 @@
             // one has declared the old one's writes closed, so the old one's
             // intent may not win. It sees that itself and does not run it.
             Entry::Intent(_) => {}
-            Entry::Void(mark) => self.remove(&mark, owner),
+            Entry::Void(mark) => self.void(&mark, owner),
             Entry::Lost(mark) => self.settle(&mark.key, &mark.id, State::Unknown),
             Entry::Receipt(r) => self.settle(&r.key, &r.id, State::Settled(r.answer)),
             // Only late readers need it: what it says is known here.
-            Entry::Carry(_) | Entry::Anew(_) => {}
-            Entry::Kept(kept) => self.forget(&kept),
+            Entry::CheckpointRecord(_) | Entry::Reset(_) => {}
+            Entry::CheckpointEnd(end) => self.expire(&end),
         }
     }
 
@@ -338,7 +339,7 @@
 
     /// True when another incarnation has started on the VM since. A VM whose start was
     /// never read counts as current; nobody makes intents before its own start.
-    fn outdated(&self, owner: &(id::Vm, id::Incarnation)) -> bool {
+    fn is_outdated(&self, owner: &(id::Vm, id::Incarnation)) -> bool {
         match self.starts.binary_search_by(|s| s.0.cmp(&owner.0)) {
             Ok(i) => self.starts[i].1 != owner.1,
             Err(_) => false,
@@ -354,7 +355,7 @@
     }
 
     /// Only the owner of the try can void it: only it knows that it did not run it.
-    fn remove(&mut self, mark: &Mark, owner: &(id::Vm, id::Incarnation)) {
+    fn void(&mut self, mark: &TryRef, owner: &(id::Vm, id::Incarnation)) {
         let shard = &mut self.shards[shard(&mark.key)];
         if let Ok(i) = shard.binary_search_by(|r| r.key.cmp(&mark.key)) {
             let own = shard[i].id == mark.id && shard[i].owner == *owner;
@@ -378,9 +379,9 @@
     /// Forgetting is a record too, so that all forget at the same place of the stream. By
     /// its own clock one agent would let a key run again that others still hold for used;
     /// when they forget it later, they have not noted the second run and allow a third.
-    fn forget(&mut self, kept: &Kept) {
-        self.kept = self.kept.max(kept.judged);
-        self.cutoff_ms = self.cutoff_ms.max(kept.cutoff_ms);
+    fn expire(&mut self, end: &CheckpointEnd) {
+        self.checkpointed = self.checkpointed.max(end.read_end);
+        self.cutoff_ms = self.cutoff_ms.max(end.cutoff_ms);
         for shard in &mut self.shards {
             shard.retain(|r| r.time_ms >= self.cutoff_ms);
         }
--- a/crates/agent/src/ledger/entry.rs
+++ b/crates/agent/src/ledger/entry.rs
@@ -8,13 +8,13 @@
 
 /// Longest body of an answer that is kept, in bytes. Every agent holds all kept
 /// answers of the key window in memory, and a record of the log is limited.
-pub const BODY_KEPT: usize = 64 << 10;
+pub const MAX_KEPT_BODY_BYTES: usize = 64 << 10;
 
 /// Header lines of an answer that are kept, in bytes.
-const HEADERS_KEPT: usize = 16 << 10;
+const MAX_KEPT_HEADER_BYTES: usize = 16 << 10;
 
 /// Id of one try to write, unique in the fleet.
-pub type Try = String;
+pub type TryId = String;
 
 /// One record of the stream: what an agent appended together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -37,17 +37,20 @@
     /// The agent wants to run a write.
     Intent(Intent),
     /// The agent has not run the write of its own intent and never will.
-    Void(Mark),
+    Void(TryRef),
     /// The agent sent the write and got no answer.
-    Lost(Mark),
+    Lost(TryRef),
     /// The service answered.
     Receipt(Receipt),
     /// A write, appended again since its records will expire.
-    Carry(Carry),
+    #[serde(rename = "carry")]
+    CheckpointRecord(CheckpointRecord),
     /// All writes that the agent knew have been carried.
-    Kept(Kept),
+    #[serde(rename = "kept")]
+    CheckpointEnd(CheckpointEnd),
     /// Nobody has been able to judge for the key window: all forget, and begin anew here.
-    Anew(Anew),
+    #[serde(rename = "anew")]
+    Reset(Reset),
 }
 
 /// Wants to run a write.
@@ -56,18 +59,19 @@
     /// Workspace and key.
     pub key: String,
     /// Hash of the content.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub content_hash: String,
     /// This try.
-    pub id: Try,
+    pub id: TryId,
 }
 
 /// Names a try.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Mark {
+pub struct TryRef {
     /// Workspace and key.
     pub key: String,
     /// The try.
-    pub id: Try,
+    pub id: TryId,
 }
 
 /// What the service answered to a try.
@@ -76,16 +80,17 @@
     /// Workspace and key.
     pub key: String,
     /// The try.
-    pub id: Try,
+    pub id: TryId,
     /// The answer.
     pub answer: Answer,
 }
 
 /// A write as its author knew it, one part of what it appends again together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Carry {
+pub struct CheckpointRecord {
     /// The author had read all records before this offset, and none after it.
-    pub judged: u64,
+    #[serde(rename = "judged")]
+    pub read_end: u64,
     /// What it knew.
     pub record: Record,
 }
@@ -93,9 +98,10 @@
 /// Ends what an author appends again: with it and the carried writes a late reader knows
 /// what the author knew.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct CheckpointEnd {
     /// As in the carried writes.
-    pub judged: u64,
+    #[serde(rename = "judged")]
+    pub read_end: u64,
     /// Number of carried writes.
     pub count: usize,
     /// Latest incarnation started on each VM, sorted by VM.
@@ -104,11 +110,12 @@
     pub cutoff_ms: u64,
 }
 
-/// Begins anew. It counts only where no intent and no `Kept` stands between.
+/// Begins anew. It counts only where no intent and no `CheckpointEnd` stands between.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Anew {
+pub struct Reset {
     /// Its author had read all records before this offset.
-    pub judged: u64,
+    #[serde(rename = "judged")]
+    pub read_end: u64,
 }
 
 /// An answer as it is kept for repeats.
@@ -142,13 +149,13 @@
     /// let reply = wire::frame::Reply {
     ///     status: 201, headers: vec![], body: vec![0xff, 1], replayed: false,
     /// };
-    /// assert_eq!(Answer::keep(&reply).body, Body::Hex("ff01".into()));
-    /// assert_eq!(Answer::keep(&reply).reply().unwrap().body, reply.body);
+    /// assert_eq!(Answer::from_reply(&reply).body, Body::Hex("ff01".into()));
+    /// assert_eq!(Answer::from_reply(&reply).to_reply().unwrap().body, reply.body);
     /// ```
-    pub fn keep(reply: &Reply) -> Answer {
+    pub fn from_reply(reply: &Reply) -> Answer {
         let size: usize = reply.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
         let (headers, body) = match std::str::from_utf8(&reply.body) {
-            _ if reply.body.len() > BODY_KEPT || size > HEADERS_KEPT => {
+            _ if reply.body.len() > MAX_KEPT_BODY_BYTES || size > MAX_KEPT_HEADER_BYTES => {
                 (vec![], Body::Long(reply.body.len() as u64))
             }
             Ok(text) => (reply.headers.clone(), Body::Text(text.to_string())),
@@ -162,9 +169,9 @@
     /// ```
     /// use agent::ledger::{Answer, Body};
     /// let answer = Answer { status: 201, headers: vec![], body: Body::Long(100_000) };
-    /// assert!(answer.reply().is_none());
+    /// assert!(answer.to_reply().is_none());
     /// ```
-    pub fn reply(&self) -> Option<Reply> {
+    pub fn to_reply(&self) -> Option<Reply> {
         let body = match &self.body {
             Body::Text(text) => text.clone().into_bytes(),
             Body::Hex(digits) => bytes(digits)?,
--- a/crates/agent/src/ledger/record.rs
+++ b/crates/agent/src/ledger/record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use wire::id;
 
-use super::{Answer, Try};
+use super::{Answer, TryId};
 
 /// What is known of a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -11,9 +11,10 @@
     /// Workspace and key.
     pub key: String,
     /// Hash of the content.
-    pub print: String,
+    #[serde(rename = "print")]
+    pub content_hash: String,
     /// The try that was first.
-    pub id: Try,
+    pub id: TryId,
     /// Who made it.
     pub owner: (id::Vm, id::Incarnation),
     /// When its intent was appended, by the log's clock, in milliseconds.
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -4,7 +4,7 @@
 //! what runs there: it holds the slots, keeps the order of steps, fences off old
 //! attempts, sees to it that a write runs at most once, and drains.
 
-pub mod ask;
+pub mod handler;
 pub mod call;
 pub mod chain;
 pub mod crash;
@@ -12,10 +12,10 @@
 pub mod fence;
 pub mod ledger;
 pub mod order;
-pub mod seat;
+pub mod session;
 pub mod slot;
 pub mod stage;
-pub mod turn;
+pub mod sequencer;
 pub mod write;
 
 use std::sync::Arc;
@@ -51,14 +51,14 @@
     /// What stands beside it and can be used now.
     pub fn backend(&self) -> Backend {
         match (&self.stage, &self.service) {
-            (Some(stage), _) => stage.held().map_or(Backend::None, Backend::Stage),
+            (Some(stage), _) => stage.loaded().map_or(Backend::None, Backend::Stage),
             (_, Some(service)) => Backend::Service(service.name.clone()),
             _ => Backend::None,
         }
     }
 
     /// True when it takes no new work: told to stop, or listed as leaving.
-    pub fn leaving(&self) -> bool {
+    pub fn is_leaving(&self) -> bool {
         let list = self.node.vms.borrow();
         let vm = &self.node.process.vm;
         let listed = list.iter().any(|e| e.vm == *vm && e.state == cloud::vm::State::Leaving);
@@ -76,7 +76,7 @@
             slots: self.slots.open(),
             busy: self.slots.busy(),
             step_us: self.slots.step_us(),
-            leaving: self.leaving(),
+            leaving: self.is_leaving(),
             version: self.node.settings.borrow().version,
             quarantined,
             suspects,
@@ -87,25 +87,25 @@
     ///
     /// Without it a rolling restart would go on to the next agent while this one still
     /// reads the log, until no agent of the service is left that takes a write.
-    fn takes_writes(&self) -> bool {
+    fn accepts_writes(&self) -> bool {
         // Routes that are not listed count as non-idempotent, so any service can have some.
-        self.service.as_ref().is_none_or(|service| service.writer.ready())
+        self.service.as_ref().is_none_or(|service| service.writer.is_ready())
     }
 
     fn ready(&self) -> Result<(), String> {
         match () {
-            () if self.leaving() => Err("leaving".into()),
+            () if self.is_leaving() => Err("leaving".into()),
             () if !self.node.settings.borrow().caught_up => {
                 Err("the settings have not been read yet".into())
             }
             // An engine that holds nothing is a spare: it can be ordered to load.
-            () if self.stage.as_ref().is_some_and(|t| t.spare()) => Ok(()),
+            () if self.stage.as_ref().is_some_and(|t| t.is_spare()) => Ok(()),
             () if self.backend() == Backend::None => {
                 Err("the backend server can't be used now".into())
             }
             // Reports don't wait for this: look-ups go on while the log is out, and a
             // router that is told "not run" asks the next agent for a write.
-            () if !self.takes_writes() => Err("the log of writes has not been read yet".into()),
+            () if !self.accepts_writes() => Err("the log of writes has not been read yet".into()),
             () => Ok(()),
         }
     }
@@ -138,8 +138,8 @@
     let agent = Arc::new(agent);
 
     let handle = agent.clone();
-    tokio::spawn(node::serve::run(node.clone(), move |ask, stream| {
-        ask::answer(handle.clone(), ask, stream)
+    tokio::spawn(node::serve::run(node.clone(), move |command, stream| {
+        handler::handle(handle.clone(), command, stream)
     }));
     if agent.stage.is_some() {
         tokio::spawn(order::run(agent.clone()));
--- a/crates/agent/src/turn.rs
+++ b/crates/agent/src/sequencer.rs
@@ -10,9 +10,9 @@
 
 /// What to do with a step.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Due {
+pub enum Decision {
     /// It ran already: answer with this.
-    Kept(Output),
+    Replay(Output),
     /// Run it now.
     Run,
 }
@@ -28,38 +28,38 @@
 
 /// How far a session has come.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Turn {
+pub struct Sequencer {
     next: id::Position,
-    kept: Option<(Step, Output)>,
+    last: Option<(Step, Output)>,
     broken: bool,
 }
 
-impl Turn {
+impl Sequencer {
     /// What to do with `step` of this attempt, when `newest` is the highest one seen.
     ///
     /// ```
-    /// use agent::turn::{Due, Turn};
+    /// use agent::sequencer::{Decision, Sequencer};
     /// use wire::frame::Step;
     /// use wire::refusal::Cause;
-    /// let turn = Turn::default();
+    /// let sequencer = Sequencer::default();
     /// let step = Step { position: 0, inputs: vec![7] };
-    /// assert_eq!(turn.due(&step, 1, 1), Ok(Due::Run));
-    /// assert_eq!(turn.due(&step, 1, 2).unwrap_err().cause, Cause::Fenced);
+    /// assert_eq!(sequencer.check(&step, 1, 1), Ok(Decision::Run));
+    /// assert_eq!(sequencer.check(&step, 1, 2).unwrap_err().cause, Cause::Fenced);
     /// ```
-    pub fn due(
+    pub fn check(
         &self,
         step: &Step,
         attempt: id::Attempt,
         newest: id::Attempt,
-    ) -> Result<Due, Refused> {
+    ) -> Result<Decision, Refused> {
         let refused = |cause, why: String| Err(Refused { cause, why });
-        match &self.kept {
+        match &self.last {
             // A thawed head that asks on would be given output that the newer
             // attempt may contradict; it has to learn that it is replaced.
             _ if newest > attempt => {
                 refused(Cause::Fenced, "a newer attempt of the request runs".into())
             }
-            Some((last, output)) if last == step => Ok(Due::Kept(output.clone())),
+            Some((last, output)) if last == step => Ok(Decision::Replay(output.clone())),
             _ if step.position != self.next || step.inputs.is_empty() => refused(
                 Cause::Bad,
                 format!("position {}, the next is {}", step.position, self.next),
@@ -69,7 +69,7 @@
             _ if self.broken => {
                 refused(Cause::Lost, "an earlier step of the session was lost".into())
             }
-            _ => Ok(Due::Run),
+            _ => Ok(Decision::Run),
         }
     }
 
@@ -86,7 +86,7 @@
         }
         self.broken = false;
         self.next += step.inputs.len() as id::Position;
-        self.kept = Some((step, output));
+        self.last = Some((step, output));
         Ok(())
     }
 }
--- a/crates/agent/src/seat.rs
+++ b/crates/agent/src/session.rs
@@ -21,41 +21,41 @@
 
 /// Time after which the next replica is asked as well. A frozen or cut-off one
 /// costs this and not the time of a whole connection attempt.
-const HEDGE: Duration = Duration::from_millis(100);
+const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
 /// Time a router has to name replicas.
 const REPLICAS_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Where a range runs now.
 #[derive(Debug)]
-pub enum Seat {
+pub enum Session {
     /// Nowhere yet, or it was lost.
-    Nowhere,
+    Closed,
     /// At the engine beside this agent.
-    Here(Box<stage::Session>),
+    Local(Box<stage::Session>),
     /// At another agent, whose loss is noticed while the draft runs.
-    There(Stream, Wait),
+    Remote(Stream, Wait),
 }
 
-impl Seat {
+impl Session {
     /// Runs one step there.
     pub async fn step(&mut self, step: Step) -> Result<Output, Refusal> {
         match self {
-            Seat::Nowhere => Err(lost("step", "", "the range runs nowhere")),
-            Seat::Here(session) => session.step(step).await,
-            Seat::There(stream, _) => exchange(stream, step).await,
+            Session::Closed => Err(lost("step", "", "the range runs nowhere")),
+            Session::Local(session) => session.step(step).await,
+            Session::Remote(stream, _) => run_remote_step(stream, step).await,
         }
     }
 }
 
 /// Opens a session at the first of the places that answers. The next place is
-/// asked when one refuses or does not answer within `HEDGE`; what is opened
+/// asked when one refuses or does not answer within `HEDGE_DELAY`; what is opened
 /// late is closed unused.
 pub async fn open_any(
     agent: &Arc<Agent>,
     places: &[Place],
     open: &Open,
-) -> Result<(Seat, Place), Refusal> {
+) -> Result<(Session, Place), Refusal> {
     let mut last = no_replica(agent, &open.stage);
     let mut rest = places.iter();
     let mut opening = FuturesUnordered::new();
@@ -72,7 +72,7 @@
                 Err(refusal) if refusal.cause == Cause::Quarantined => return Err(refusal),
                 Err(refusal) => last = refusal,
             },
-            () = sleep(HEDGE), if more => {}
+            () = sleep(HEDGE_DELAY), if more => {}
         }
     }
 }
@@ -81,18 +81,18 @@
     agent: &Arc<Agent>,
     place: &'a Place,
     open: Open,
-) -> (&'a Place, Result<Seat, Refusal>) {
+) -> (&'a Place, Result<Session, Refusal>) {
     let opened = timeout(OPEN_TIMEOUT, open_at(agent, place, open)).await;
     let silent = Refusal::not_run(Cause::Unavailable, "open", &place.vm, "no answer in time");
     (place, opened.unwrap_or(Err(silent)))
 }
 
-async fn open_at(agent: &Arc<Agent>, place: &Place, open: Open) -> Result<Seat, Refusal> {
+async fn open_at(agent: &Arc<Agent>, place: &Place, open: Open) -> Result<Session, Refusal> {
     if place.vm == agent.node.process.vm {
         let table = agent.stage.as_ref().ok_or_else(|| {
             Refusal::not_run(Cause::Unavailable, "open", &place.vm, "no engine stands here")
         })?;
-        return table.open(&open).await.map(|s| Seat::Here(Box::new(s)));
+        return table.open(&open).await.map(|s| Session::Local(Box::new(s)));
     }
     let down = |e: wire::link::Error| {
         Refusal::not_run(Cause::Unavailable, "open", &place.vm, e.to_string())
@@ -102,13 +102,13 @@
     let mut stream =
         peers.open(&place.vm, &place.address, &Command::Open(open)).await.map_err(down)?;
     match stream.expect().await.map_err(down)? {
-        Frame::Opened => Ok(Seat::There(stream, wait)),
+        Frame::Opened => Ok(Session::Remote(stream, wait)),
         Frame::Refused(refusal) => Err(refusal),
         _ => Err(Refusal::not_run(Cause::Unavailable, "open", &place.vm, "unexpected frame")),
     }
 }
 
-async fn exchange(stream: &mut Stream, step: Step) -> Result<Output, Refusal> {
+async fn run_remote_step(stream: &mut Stream, step: Step) -> Result<Output, Refusal> {
     let peer = stream.peer.clone();
     let down = |e: wire::link::Error| lost("step", &peer, &e.to_string());
     stream.send(&Frame::Step(step)).await.map_err(down)?;
@@ -122,7 +122,7 @@
 /// Replicas of a range as a router sees them now; none when no router answers.
 /// The list a draft came with is as old as the draft: replicas that joined
 /// since, or were ordered to load the range, are not in it.
-pub async fn ask_router(agent: &Arc<Agent>, stage: &Stage) -> Vec<Place> {
+pub async fn query_replicas(agent: &Arc<Agent>, stage: &Stage) -> Vec<Place> {
     let list = agent.node.vms.borrow().clone();
     let routers: Vec<_> = list.iter().filter(|e| e.role == Role::Router).collect();
     let Some(router) = routers.choose(&mut rand::rng()) else { return Vec::new() };
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -11,7 +11,7 @@
 use policy::limit::{self, Admit, Kind, Objective};
 
 /// Weight of a new reading in the smoothed step time, as one part in this many.
-const SMOOTHING: u64 = 8;
+const SMOOTHING_DIVISOR: u64 = 8;
 
 #[derive(Debug)]
 struct Inner {
@@ -63,7 +63,7 @@
     /// ```
     /// use policy::limit::{Kind, Objective};
     /// let slots = agent::slot::Slots::new(8);
-    /// slots.favour(Objective::Recovery);
+    /// slots.set_objective(Objective::Recovery);
     /// let taken: Vec<_> = std::iter::from_fn(|| slots.take()).collect();
     /// assert_eq!(taken.len(), 7);
     /// assert!(slots.take_for(Kind::Recovery).is_some());
@@ -76,7 +76,7 @@
     }
 
     /// Takes over what the fleet favours; what runs goes on.
-    pub fn favour(&self, objective: Objective) {
+    pub fn set_objective(&self, objective: Objective) {
         self.inner.limit().set(self.inner.total, objective);
     }
 
@@ -101,11 +101,11 @@
     }
 
     /// Adds a reading to the smoothed time.
-    pub fn measured(&self, time: Duration) {
+    pub fn record_time(&self, time: Duration) {
         let new = time.as_micros() as u64;
         let smooth = |old: u64| match old {
             0 => Some(new),
-            old => Some((old * (SMOOTHING - 1) + new) / SMOOTHING),
+            old => Some((old * (SMOOTHING_DIVISOR - 1) + new) / SMOOTHING_DIVISOR),
         };
         let _ = self.inner.step_us.fetch_update(Ordering::Relaxed, Ordering::Relaxed, smooth);
     }
--- a/crates/agent/src/stage.rs
+++ b/crates/agent/src/stage.rs
@@ -15,22 +15,22 @@
 
 use crate::crash;
 use crate::fence::Fence;
+use crate::sequencer::{Decision, Sequencer};
 use crate::slot::{Slot, Slots};
-use crate::turn::{Due, Turn};
 
 /// Longest wait for an answer of the engine. The head gives a silent stage up
 /// long before; this only frees what would otherwise wait for ever.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between looks at the engine's info: a crash is noticed within this.
-const LOOK: Duration = Duration::from_millis(200);
+const INFO_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Looks at an engine whose answer was lost before it is held to have lived on.
-const CRASH_LOOKS: u32 = 3;
+const CRASH_CHECKS: u32 = 3;
 
 /// Longest such look, and the pause after one that told nothing.
-const CRASH_TIMEOUT: Duration = Duration::from_millis(200);
-const CRASH_PAUSE: Duration = Duration::from_millis(10);
+const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
+const CRASH_CHECK_PAUSE: Duration = Duration::from_millis(10);
 
 /// Time after which a caller may come back to a full agent.
 const BUSY_RETRY: Duration = Duration::from_millis(200);
@@ -44,9 +44,9 @@
     slots: Slots,
     info: RwLock<Option<engine::Info>>,
     fence: Mutex<Fence>,
-    crash: crash::Watch,
+    crash: crash::Monitor,
     /// Range that was ordered, until it is loaded or the time has passed.
-    ordered: Mutex<Option<(Stage, Instant)>>,
+    pending_order: Mutex<Option<(Stage, Instant)>>,
 }
 
 /// An open session. Dropping it cancels it at the engine.
@@ -54,14 +54,14 @@
 pub struct Session {
     table: Arc<Table>,
     name: String,
-    unique: String,
+    fence_key: String,
     running: Running,
     fingerprint: id::Fingerprint,
     /// Incarnation of the engine that holds it.
     incarnation: String,
     suspect: bool,
     attempt: id::Attempt,
-    turn: Turn,
+    sequencer: Sequencer,
     _slot: Slot,
 }
 
@@ -75,8 +75,8 @@
         slots,
         info: RwLock::new(None),
         fence: Mutex::default(),
-        crash: crash::Watch::default(),
-        ordered: Mutex::default(),
+        crash: crash::Monitor::default(),
+        pending_order: Mutex::default(),
     });
     if let Err(e) = table.engine.cancel_all().await {
         log::warn!("stage: what was left at the engine can't be cancelled: {e}");
@@ -92,7 +92,7 @@
     let mut settings = node.settings.clone();
     loop {
         let objective = settings.borrow_and_update().fleet.defaults.objective;
-        slots.favour(match objective {
+        slots.set_objective(match objective {
             config::fleet::Objective::Throughput => Objective::Throughput,
             config::fleet::Objective::Recovery => Objective::Recovery,
         });
@@ -104,10 +104,10 @@
 
 impl Table {
     /// The range of layers the engine holds, when it can be used.
-    pub fn held(&self) -> Option<Stage> {
+    pub fn loaded(&self) -> Option<Stage> {
         let info = self.info.read().expect("no panic while held");
         let held = info.as_ref().and_then(range)?;
-        let ordered = self.ordered.lock().expect("no panic while held");
+        let ordered = self.pending_order.lock().expect("no panic while held");
         // What it held until the order is gone: nothing is to be sent there for it.
         match &*ordered {
             Some((stage, until)) if *until > Instant::now() && *stage != held => None,
@@ -116,19 +116,19 @@
     }
 
     /// True when the engine answers.
-    pub fn up(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         self.info.read().expect("no panic while held").is_some()
     }
 
     /// True when the engine answers and holds nothing.
-    pub fn spare(&self) -> bool {
+    pub fn is_spare(&self) -> bool {
         let info = self.info.read().expect("no panic while held");
         info.as_ref().is_some_and(|i| range(i).is_none())
     }
 
     /// True while an order is being carried out.
-    pub fn ordered(&self) -> bool {
-        let ordered = self.ordered.lock().expect("no panic while held");
+    pub fn is_order_pending(&self) -> bool {
+        let ordered = self.pending_order.lock().expect("no panic while held");
         let held = self.info.read().expect("no panic while held").as_ref().and_then(range);
         ordered
             .as_ref()
@@ -143,10 +143,10 @@
         limit: Duration,
     ) -> Result<(), rest::Error> {
         let until = Instant::now() + limit;
-        *self.ordered.lock().expect("no panic while held") = Some((stage, until));
+        *self.pending_order.lock().expect("no panic while held") = Some((stage, until));
         let done = self.engine.order(order).await;
         if done.is_err() {
-            *self.ordered.lock().expect("no panic while held") = None;
+            *self.pending_order.lock().expect("no panic while held") = None;
         }
         done
     }
@@ -166,7 +166,7 @@
         }
         // Any later attempt goes on with a draft that has lost a stage or its head.
         let kind = if open.attempt == 0 { Kind::New } else { Kind::Recovery };
-        let slot = match self.held() {
+        let slot = match self.loaded() {
             Some(held) if held == open.stage => self.slots.take_for(kind),
             Some(held) => {
                 let why = format!("holds layers {}-{} of {}", held.first, held.last, held.model);
@@ -180,8 +180,9 @@
         };
         // An engine that was ordered to load another range may run two ranges of
         // one request in turn; each has attempts of its own.
-        let unique = format!("{}.{}", unique(&open.request), open.stage.first);
-        let admitted = self.fence.lock().expect("no panic while held").admit(&unique, open.attempt);
+        let fence_key = format!("{}.{}", stable_id(&open.request), open.stage.first);
+        let admitted =
+            self.fence.lock().expect("no panic while held").admit(&fence_key, open.attempt);
         admitted.map_err(|newest| {
             let why = format!("attempt {}, but {newest} was seen", open.attempt);
             self.refuse(Cause::Fenced, "open", why)
@@ -198,13 +199,13 @@
             Ok(()) => Ok(Session {
                 table: self.clone(),
                 name,
-                unique,
+                fence_key,
                 running: crash::running(open.fingerprint, &open.request, &open.tag),
                 fingerprint: open.fingerprint,
                 incarnation,
                 suspect: open.suspect,
                 attempt: open.attempt,
-                turn: Turn::default(),
+                sequencer: Sequencer::default(),
                 _slot: slot,
             }),
             Err(e) if e.status() == Some(429) => {
@@ -226,20 +227,20 @@
 
     /// True when the engine process of that incarnation has ended: nothing
     /// listens at its port, or another process does.
-    async fn ended_process(&self, incarnation: &str) -> bool {
-        for _ in 0..CRASH_LOOKS {
-            match timeout(CRASH_TIMEOUT, self.engine.info()).await {
+    async fn has_process_ended(&self, incarnation: &str) -> bool {
+        for _ in 0..CRASH_CHECKS {
+            match timeout(CRASH_CHECK_TIMEOUT, self.engine.info()).await {
                 Ok(Ok(info)) => {
                     let ended = info.incarnation != incarnation;
-                    self.note(Some(info));
+                    self.set_info(Some(info));
                     return ended;
                 }
                 Ok(Err(e)) if e.unsent() => {
-                    self.note(None);
+                    self.set_info(None);
                     return true;
                 }
                 // A pooled connection to the dead process may fail first.
-                _ => tokio::time::sleep(CRASH_PAUSE).await,
+                _ => tokio::time::sleep(CRASH_CHECK_PAUSE).await,
             }
         }
         false
@@ -247,14 +248,14 @@
 
     async fn watch(&self) {
         loop {
-            let looked = timeout(Duration::from_secs(2), self.engine.info()).await;
-            let info = looked.ok().and_then(Result::ok);
-            self.note(info);
-            tokio::time::sleep(LOOK).await;
+            let answered = timeout(Duration::from_secs(2), self.engine.info()).await;
+            let info = answered.ok().and_then(Result::ok);
+            self.set_info(info);
+            tokio::time::sleep(INFO_INTERVAL).await;
         }
     }
 
-    fn note(&self, new: Option<engine::Info>) {
+    fn set_info(&self, new: Option<engine::Info>) {
         let mut info = self.info.write().expect("no panic while held");
         match (&*info, &new) {
             (Some(_), None) => log::warn!("stage: the engine does not answer"),
@@ -274,65 +275,67 @@
 impl Session {
     /// Runs a step. Positions come in order; the last step again gets the kept output.
     pub async fn step(&mut self, step: Step) -> Result<Output, Refusal> {
-        if let Due::Kept(output) = self.due(&step)? {
+        if let Decision::Replay(output) = self.check(&step)? {
             return Ok(output);
         }
         let table = self.table.clone();
         let alone = self.suspect || self.verdict() == Verdict::Alone;
-        let _right = table.crash.right(alone).await;
+        let _permit = table.crash.acquire(alone).await;
         // A newer attempt or a quarantine may have come while the step waited.
-        self.due(&step)?;
+        self.check(&step)?;
         if let Verdict::Refused { left } = self.verdict() {
             return Err(crash::refusal(&table.vm, "step", left));
         }
-        let ran = self.at_engine(&step, alone).await?;
+        let ran = self.run_at_engine(&step, alone).await?;
         let token = ran.token.map(|t| Sample { id: t.id, text: t.text, end: t.end });
         let output = Output { position: step.position, outputs: ran.outputs, token };
-        self.turn.done(step, output.clone()).map_err(|r| table.refuse(r.cause, "step", r.why))?;
+        self.sequencer
+            .done(step, output.clone())
+            .map_err(|r| table.refuse(r.cause, "step", r.why))?;
         Ok(output)
     }
 
-    fn due(&self, step: &Step) -> Result<Due, Refusal> {
-        let newest = self.table.fence.lock().expect("no panic while held").newest(&self.unique);
-        let due = self.turn.due(step, self.attempt, newest);
-        due.map_err(|r| self.table.refuse(r.cause, "step", r.why))
+    fn check(&self, step: &Step) -> Result<Decision, Refusal> {
+        let newest = self.table.fence.lock().expect("no panic while held").newest(&self.fence_key);
+        let decision = self.sequencer.check(step, self.attempt, newest);
+        decision.map_err(|r| self.table.refuse(r.cause, "step", r.why))
     }
 
     fn verdict(&self) -> Verdict {
         self.table.node.quarantine.verdict(self.fingerprint)
     }
 
-    async fn at_engine(&mut self, step: &Step, alone: bool) -> Result<engine::Output, Refusal> {
+    async fn run_at_engine(&mut self, step: &Step, alone: bool) -> Result<engine::Output, Refusal> {
         let table = self.table.clone();
         if alone {
             table.node.quarantine.suspected_elsewhere(self.fingerprint);
         }
-        self.turn.begin();
+        self.sequencer.begin();
         let begun = Instant::now();
         let asked = engine::Step { position: step.position, inputs: step.inputs.clone() };
-        let entry = table.crash.enter(&self.incarnation, self.running.clone());
+        let guard = table.crash.begin_step(&self.incarnation, self.running.clone());
         let ran = match table.engine.step(&self.name, &asked).await {
             Ok(ran) => ran,
             Err(e) => {
                 let unanswered = e.status().is_none();
                 if e.unsent() {
                     // The engine was gone before: the step is not among those that ran.
-                    drop(entry);
-                    table.ended_process(&self.incarnation).await;
+                    drop(guard);
+                    table.has_process_ended(&self.incarnation).await;
                     return Err(table.refuse(Cause::Lost, "step", e.to_string()));
                 }
-                if unanswered && table.ended_process(&self.incarnation).await {
-                    table.crash.crashed(&table.node, &self.incarnation);
+                if unanswered && table.has_process_ended(&self.incarnation).await {
+                    table.crash.report_crash(&table.node, &self.incarnation);
                 }
-                if entry.named() {
-                    return Err(crash::verdict(&table.node, self.fingerprint).await);
+                if guard.in_crash() {
+                    return Err(crash::step_refusal(&table.node, self.fingerprint).await);
                 }
                 return Err(table.refuse(Cause::Lost, "step", e.to_string()));
             }
         };
-        drop(entry);
+        drop(guard);
         if step.inputs.len() == 1 {
-            table.slots.measured(begun.elapsed());
+            table.slots.record_time(begun.elapsed());
         }
         if alone {
             self.suspect = false;
@@ -345,7 +348,7 @@
 impl Drop for Session {
     fn drop(&mut self) {
         let mut fence = self.table.fence.lock().expect("no panic while held");
-        fence.ended(&self.unique, Instant::now());
+        fence.ended(&self.fence_key, Instant::now());
         drop(fence);
         cancel(self.table.engine.clone(), std::mem::take(&mut self.name));
     }
@@ -366,6 +369,6 @@
 }
 
 /// The part of a request id that stays the same when the request moves to another head.
-pub fn unique(request: &str) -> &str {
+pub fn stable_id(request: &str) -> &str {
     request.rsplit('.').next().unwrap_or(request)
 }
--- a/crates/agent/src/write.rs
+++ b/crates/agent/src/write.rs
@@ -16,37 +16,37 @@
 use wire::refusal::{Cause, Outcome, Refusal};
 
 use crate::call::Service;
-use crate::ledger::{Answer, Entry, Intent, Ledger, Mark, Receipt, Record, State, Try};
+use crate::ledger::{Answer, Entry, Intent, Ledger, Receipt, Record, State, TryId, TryRef};
 use crate::slot::Slot;
 use crate::{Agent, ledger};
 
 /// Entries that may wait to be appended.
-const QUEUE: usize = 4096;
+const MAX_QUEUED_ENTRIES: usize = 4096;
 
 /// Pause after a failed read or append.
-const PAUSE: Duration = Duration::from_millis(200);
+const LOG_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// How long to look in the stream for an append whose answer was lost.
-const SETTLE: Duration = Duration::from_secs(2);
+const APPEND_CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long the caller's answer waits for its receipt to stand in the log. After
 /// it the caller is answered all the same, and the receipt is still appended.
-const RECEIPT_WAIT: Duration = Duration::from_secs(1);
+const RECEIPT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// When a refused caller may come back while the log is out.
-const LOG_RETRY: Duration = Duration::from_secs(1);
+const LOG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Name and incarnation under which entries are appended.
 type Owner = (id::Vm, id::Incarnation);
 
 /// What has been read, and as whom this process reads it.
 #[derive(Debug)]
-struct Known {
+struct Reader {
     ledger: Ledger,
     /// The incarnation is a new one after each gap in what was read.
     owner: Owner,
     /// Own tries that were given up before they were seen in the stream.
-    abandoned: Vec<(Owner, Mark)>,
+    abandoned: Vec<(Owner, TryRef)>,
 }
 
 /// Appends entries and follows the stream of one service.
@@ -55,23 +55,23 @@
     vm: id::Vm,
     stream: String,
     log: cloud::log::Client,
-    known: Mutex<Known>,
-    seen: watch::Sender<u64>,
+    reader: Mutex<Reader>,
+    read_offset: watch::Sender<u64>,
     ready: watch::Sender<bool>,
     queue: mpsc::Sender<append::Queued>,
 }
 
 /// Starts following the stream of a service.
 pub fn start(node: &Arc<Node>, service: &str) -> Arc<Writer> {
-    let (queue, entries) = mpsc::channel(QUEUE);
+    let (queue, entries) = mpsc::channel(MAX_QUEUED_ENTRIES);
     let vm = node.process.vm.clone();
     let owner = (vm.clone(), node.incarnation);
     let writer = Arc::new(Writer {
         vm,
         stream: format!("writes-{service}"),
         log: cloud::log::Client::new(&node.process.platform.log, Duration::from_secs(2)),
-        known: Mutex::new(Known { ledger: Ledger::new(), owner, abandoned: vec![] }),
-        seen: watch::Sender::new(0),
+        reader: Mutex::new(Reader { ledger: Ledger::new(), owner, abandoned: vec![] }),
+        read_offset: watch::Sender::new(0),
         ready: watch::Sender::new(false),
         queue,
     });
@@ -100,32 +100,32 @@
         return Err(Refusal::refused(Cause::Bad, "write", vm, why));
     };
     let key = format!("{}/{key}", call.workspace);
-    let print = fingerprint(&call);
+    let content_hash = fingerprint(&call);
     let until = Instant::now() + call.deadline;
-    if !writer.ready() {
+    if !writer.is_ready() {
         return Err(writer.not_run("the log of writes has not been read yet"));
     }
-    let mut seen = writer.seen.subscribe();
+    let mut seen = writer.read_offset.subscribe();
     loop {
         seen.mark_unchanged();
         match writer.find(&key) {
-            Some(record) if record.state != State::Open || record.print != print => {
-                agent.node.trace.add(&call.request, "write", decision(&record, &print));
-                return settled(vm, record, &print);
+            Some(record) if record.state != State::Open || record.content_hash != content_hash => {
+                agent.node.trace.add(&call.request, "write", describe(&record, &content_hash));
+                return repeat_answer(vm, record, &content_hash);
             }
             Some(record) => {
-                let news = timeout_at(until, seen.changed()).await;
-                if news.is_err() {
+                let changed = timeout_at(until, seen.changed()).await;
+                if changed.is_err() {
                     let why = "the write is in progress elsewhere and has not been answered yet";
                     let refusal = Refusal::unknown(Cause::Deadline, "write", &record.owner.0, why);
-                    return Err(refusal.after(LOG_RETRY));
+                    return Err(refusal.after(LOG_RETRY_AFTER));
                 }
             }
             None => {
                 let slot = service.slot()?;
-                if let Some((owner, id)) = writer.claim(&key, &print, until).await? {
-                    let mark = Mark { key, id };
-                    return finish(&agent, &service, call, owner, mark, slot, until).await;
+                if let Some((owner, id)) = writer.append_intent(&key, &content_hash, until).await? {
+                    let try_ref = TryRef { key, id };
+                    return run_first(&agent, &service, call, owner, try_ref, slot, until).await;
                 }
             }
         }
@@ -133,22 +133,24 @@
 }
 
 /// The decision on a repeat in words, for operators.
-fn decision(record: &Record, print: &str) -> &'static str {
+fn describe(record: &Record, content_hash: &str) -> &'static str {
     match &record.state {
-        _ if record.print != print => "conflict: the key was used with another content",
+        _ if record.content_hash != content_hash => {
+            "conflict: the key was used with another content"
+        }
         State::Settled(_) => "replay: answered from the receipt",
         _ => "the outcome of the first try is not known",
     }
 }
 
 /// The answer to a write whose key is no longer open, or was used with another content.
-fn settled(vm: &str, record: Record, print: &str) -> Result<Reply, Refusal> {
+fn repeat_answer(vm: &str, record: Record, content_hash: &str) -> Result<Reply, Refusal> {
     match &record.state {
-        _ if record.print != print => {
+        _ if record.content_hash != content_hash => {
             let why = "the key was used with another content; nothing was run";
             Err(Refusal::refused(Cause::Conflict, "write", vm, why))
         }
-        State::Settled(answer) => answer.reply().ok_or_else(|| long(vm, answer)),
+        State::Settled(answer) => answer.to_reply().ok_or_else(|| too_long(vm, answer)),
         _ => {
             let why = "the write was sent to the service and its outcome is not known";
             Err(Refusal::unknown(Cause::Lost, "write", &record.owner.0, why))
@@ -157,8 +159,8 @@
 }
 
 /// A repeat can't have the answer, and may not be told that the write did not run.
-fn long(vm: &str, answer: &Answer) -> Refusal {
-    let kept = ledger::BODY_KEPT;
+fn too_long(vm: &str, answer: &Answer) -> Refusal {
+    let kept = ledger::MAX_KEPT_BODY_BYTES;
     let why = format!(
         "the write ran once and was answered with status {}; the answer is not shown again, \
          since it was longer than the {kept} bytes that are kept",
@@ -168,12 +170,12 @@
 }
 
 /// Sends a write whose intent was first, and appends what became of it.
-async fn finish(
+async fn run_first(
     agent: &Agent,
     service: &Service,
     call: Call,
     owner: Owner,
-    mark: Mark,
+    try_ref: TryRef,
     slot: Slot,
     until: Instant,
 ) -> Result<Reply, Refusal> {
@@ -182,7 +184,7 @@
     // again by another: the caller has gone by then, so nothing is lost by not running it.
     let sent = match Instant::now() < until {
         true => {
-            agent.node.trace.add(&call.request, "write", format!("runs as try {}", mark.id));
+            agent.node.trace.add(&call.request, "write", format!("runs as try {}", try_ref.id));
             service.send(&call, slot).await
         }
         false => {
@@ -192,86 +194,87 @@
     };
     let entry = match &sent {
         Ok(reply) => {
-            let (key, id) = (mark.key.clone(), mark.id.clone());
-            Entry::Receipt(Receipt { key, id, answer: Answer::keep(reply) })
+            let (key, id) = (try_ref.key.clone(), try_ref.id.clone());
+            Entry::Receipt(Receipt { key, id, answer: Answer::from_reply(reply) })
         }
-        Err(refusal) if refusal.outcome == Outcome::NotRun => Entry::Void(mark),
-        Err(_) => Entry::Lost(mark),
+        Err(refusal) if refusal.outcome == Outcome::NotRun => Entry::Void(try_ref),
+        Err(_) => Entry::Lost(try_ref),
     };
     let (writer, work) = (writer.clone(), agent.work.begin());
-    let entered = tokio::spawn(async move {
-        writer.append_surely(owner, entry).await;
+    let appended = tokio::spawn(async move {
+        writer.append_until_confirmed(owner, entry).await;
         drop(work);
     });
-    let _ = timeout(RECEIPT_WAIT, entered).await;
+    let _ = timeout(RECEIPT_TIMEOUT, appended).await;
     sent
 }
 
 impl Writer {
     /// True when writes can be taken: everything that is remembered has been read, and
     /// this process's own start after it.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
 
     fn find(&self, key: &str) -> Option<Record> {
-        self.known.lock().expect("no panic while held").ledger.find(key).cloned()
+        self.reader.lock().expect("no panic while held").ledger.find(key).cloned()
     }
 
     /// Appends an intent and reads the stream up to it. The try when it is the first for
     /// its key, `None` when another came before it.
-    async fn claim(
+    async fn append_intent(
         &self,
         key: &str,
-        print: &str,
+        content_hash: &str,
         until: Instant,
-    ) -> Result<Option<(Owner, Try)>, Refusal> {
-        let owner = self.known.lock().expect("no panic while held").owner.clone();
+    ) -> Result<Option<(Owner, TryId)>, Refusal> {
+        let owner = self.reader.lock().expect("no panic while held").owner.clone();
         let id = uuid::Uuid::new_v4().simple().to_string();
-        let intent = Intent { key: key.to_string(), print: print.to_string(), id: id.clone() };
-        let mut seen = self.seen.subscribe();
+        let intent =
+            Intent { key: key.to_string(), content_hash: content_hash.to_string(), id: id.clone() };
+        let mut seen = self.read_offset.subscribe();
         let appended = self.append(&owner, Entry::Intent(intent)).await;
         if appended == append::Appended::No {
             let why = "the log takes no records now, so the write can't be made safe";
             return Err(self.not_run(why));
         }
-        let settle = until.min(Instant::now() + SETTLE);
-        let mark = Mark { key: key.to_string(), id };
+        let confirm_until = until.min(Instant::now() + APPEND_CONFIRM_TIMEOUT);
+        let try_ref = TryRef { key: key.to_string(), id };
         loop {
-            if let Some(won) = self.won(&owner, &mark) {
-                return Ok(won.then_some((owner, mark.id)));
+            if let Some(first) = self.is_own_first(&owner, &try_ref) {
+                return Ok(first.then_some((owner, try_ref.id)));
             }
-            if timeout_at(settle, seen.changed()).await.is_err() {
-                return self.abandon(owner, mark);
+            if timeout_at(confirm_until, seen.changed()).await.is_err() {
+                return self.abandon(owner, try_ref);
             }
         }
     }
 
     /// Whether an own try runs; `None` while that has not been read.
-    fn won(&self, owner: &Owner, mark: &Mark) -> Option<bool> {
-        let known = self.known.lock().expect("no panic while held");
+    fn is_own_first(&self, owner: &Owner, try_ref: &TryRef) -> Option<bool> {
+        let reader = self.reader.lock().expect("no panic while held");
         // After a gap the old incarnation is gone: others may hold its intents for void.
-        let same = known.owner == *owner && known.ledger.ready(owner);
-        if same { known.ledger.runs(&mark.key, &mark.id, owner) } else { None }
+        let same = reader.owner == *owner && reader.ledger.is_ready(owner);
+        if same { reader.ledger.is_first(&try_ref.key, &try_ref.id, owner) } else { None }
     }
 
     /// Gives up an own intent that was not seen. It may still turn up; then it is
     /// voided, since else the key would look as if it ran for ever.
-    fn abandon(&self, owner: Owner, mark: Mark) -> Result<Option<(Owner, Try)>, Refusal> {
-        let mut known = self.known.lock().expect("no panic while held");
-        let same = known.owner == owner;
-        match known.ledger.runs(&mark.key, &mark.id, &owner) {
-            Some(true) if same => Ok(Some((owner, mark.id))),
-            Some(false) if same && known.ledger.ready(&owner) => Ok(None),
+    fn abandon(&self, owner: Owner, try_ref: TryRef) -> Result<Option<(Owner, TryId)>, Refusal> {
+        let mut reader = self.reader.lock().expect("no panic while held");
+        let same = reader.owner == owner;
+        match reader.ledger.is_first(&try_ref.key, &try_ref.id, &owner) {
+            Some(true) if same => Ok(Some((owner, try_ref.id))),
+            Some(false) if same && reader.ledger.is_ready(&owner) => Ok(None),
             _ => {
-                known.abandoned.push((owner, mark));
+                reader.abandoned.push((owner, try_ref));
                 Err(self.not_run("the log does not show the intent, so the write was not sent"))
             }
         }
     }
 
     fn not_run(&self, why: &str) -> Refusal {
-        Refusal::not_run(Cause::Unavailable, "write", &self.vm, why).after(LOG_RETRY)
+        Refusal::not_run(Cause::Unavailable, "write", &self.vm, why).after(LOG_RETRY_AFTER)
     }
 }
 
--- a/crates/agent/src/write/append.rs
+++ b/crates/agent/src/write/append.rs
@@ -5,24 +5,24 @@
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::{Owner, PAUSE, Writer};
+use super::{LOG_RETRY_PAUSE, Owner, Writer};
 use crate::ledger::{Batch, Entry};
 
 /// Entries appended together at most. One append is in flight at a time, so that
 /// a burst of writes costs the log few appends.
-const BATCH: usize = 256;
+const MAX_BATCH_ENTRIES: usize = 256;
 
 /// Text of a record at which the next entry goes into another one, in bytes.
-const RECORD: usize = 256 << 10;
+const MAX_RECORD_BYTES: usize = 256 << 10;
 
 /// First pause between two appends after the log refused one for its rate.
-const GATHER: Duration = Duration::from_millis(2);
+const MIN_APPEND_PAUSE: Duration = Duration::from_millis(2);
 
 /// Longest such pause.
-const GATHER_MOST: Duration = Duration::from_millis(100);
+const MAX_APPEND_PAUSE: Duration = Duration::from_millis(100);
 
 /// Times a record is tried again that was refused for the log's rate.
-const TRIES: u32 = 10;
+const MAX_RATE_RETRIES: u32 = 10;
 
 /// What became of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,11 +56,11 @@
     /// Appends an entry however long the log is out, also when the caller no longer
     /// waits. Appending it twice does no harm. A receipt whose append was lost with its
     /// answer would else be missing for good, and a repeat be told "unknown".
-    pub(super) async fn append_surely(self: &Arc<Writer>, owner: Owner, entry: Entry) {
+    pub(super) async fn append_until_confirmed(self: &Arc<Writer>, owner: Owner, entry: Entry) {
         let writer = self.clone();
         let task = tokio::spawn(async move {
             while writer.append(&owner, entry.clone()).await != Appended::Yes {
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(LOG_RETRY_PAUSE).await;
             }
         });
         let _ = task.await;
@@ -69,45 +69,45 @@
 
 /// Appends what is queued, as many entries at once as have come together.
 pub async fn run(writer: Arc<Writer>, mut queue: mpsc::Receiver<Queued>) {
-    let mut taken = Vec::new();
+    let mut queued = Vec::new();
     // The rate of the log is shared by all agents, and none knows how many others append.
     // So each pauses longer after a refusal and gathers more entries for its next record;
     // without it refused receipts kept callers waiting by a fixed pause each time.
-    let mut gather = Duration::ZERO;
-    while queue.recv_many(&mut taken, BATCH).await > 0 {
-        let mut rest = taken.drain(..).peekable();
+    let mut pause = Duration::ZERO;
+    while queue.recv_many(&mut queued, MAX_BATCH_ENTRIES).await > 0 {
+        let mut rest = queued.drain(..).peekable();
         while let Some(first) = rest.next() {
             let mut length = length(&first.entry);
             let mut batch = vec![first];
             while let Some(next) = rest.next_if(|q| {
                 length += self::length(&q.entry);
-                length <= RECORD && q.owner == batch[0].owner
+                length <= MAX_RECORD_BYTES && q.owner == batch[0].owner
             }) {
                 batch.push(next);
             }
-            together(&writer, batch, &mut gather).await;
-            tokio::time::sleep(gather).await;
+            append_batch(&writer, batch, &mut pause).await;
+            tokio::time::sleep(pause).await;
         }
     }
 }
 
-async fn together(writer: &Writer, batch: Vec<Queued>, gather: &mut Duration) {
+async fn append_batch(writer: &Writer, batch: Vec<Queued>, pause: &mut Duration) {
     let (vm, incarnation) = batch[0].owner.clone();
     let (entries, waiting): (Vec<_>, Vec<_>) = batch.into_iter().map(|q| (q.entry, q.done)).unzip();
     let batch = Batch { vm, incarnation, entries };
     let data = serde_json::to_string(&batch).expect("plain data encodes");
     let mut result = writer.log.append(&writer.stream, &data).await;
-    for _ in 0..TRIES {
+    for _ in 0..MAX_RATE_RETRIES {
         if !matches!(result, Err(rest::Error::Status { status: 429, .. })) {
             break;
         }
-        *gather = (*gather * 2).clamp(GATHER, GATHER_MOST);
-        tokio::time::sleep(gather.mul_f64(rand::random_range(0.5..1.5))).await;
+        *pause = (*pause * 2).clamp(MIN_APPEND_PAUSE, MAX_APPEND_PAUSE);
+        tokio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.5))).await;
         result = writer.log.append(&writer.stream, &data).await;
     }
     let appended = match result {
         Ok(_) => {
-            *gather = gather.mul_f64(0.9);
+            *pause = pause.mul_f64(0.9);
             Appended::Yes
         }
         Err(e) => {
--- a/crates/agent/tests/ledger.rs
+++ b/crates/agent/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! What the ledger of writes makes of records.
 
-use agent::ledger::{Answer, BODY_KEPT, Batch, Body, Carry, Entry};
-use agent::ledger::{Intent, Kept, Ledger, Mark, Receipt, Record, State};
+use agent::ledger::{Answer, Batch, Body, CheckpointRecord, Entry, MAX_KEPT_BODY_BYTES};
+use agent::ledger::{CheckpointEnd, Intent, Ledger, Receipt, Record, State, TryRef};
 use rstest::rstest;
 use wire::frame::Reply;
 
@@ -14,11 +14,11 @@
 }
 
 fn intent(key: &str, id: &str) -> Entry {
-    Entry::Intent(Intent { key: key.into(), print: "p".into(), id: id.into() })
+    Entry::Intent(Intent { key: key.into(), content_hash: "p".into(), id: id.into() })
 }
 
-fn mark(key: &str, id: &str) -> Mark {
-    Mark { key: key.into(), id: id.into() }
+fn mark(key: &str, id: &str) -> TryRef {
+    TryRef { key: key.into(), id: id.into() }
 }
 
 struct Case {
@@ -135,8 +135,8 @@
 fn a_kept_answer_comes_back_as_it_was(#[case] body: Vec<u8>, #[case] most: usize) {
     let headers = vec![("x-a".to_string(), "b".to_string())];
     let reply = Reply { status: 201, headers, body, replayed: true };
-    let kept = Answer::keep(&reply);
-    assert_eq!(kept.reply(), Some(reply));
+    let kept = Answer::from_reply(&reply);
+    assert_eq!(kept.to_reply(), Some(reply));
     let empty = Answer { body: Body::Text(String::new()), ..kept.clone() };
     let length = |a: &Answer| serde_json::to_string(a).unwrap().len();
     assert!(length(&kept) - length(&empty) <= most);
@@ -144,20 +144,28 @@
 
 #[test]
 fn a_long_answer_is_not_kept_and_not_made_up() {
-    let body = vec![b'a'; BODY_KEPT + 1];
-    let kept = Answer::keep(&Reply { status: 201, headers: vec![], body, replayed: false });
-    assert_eq!(kept.body, Body::Long(BODY_KEPT as u64 + 1));
-    assert_eq!(kept.reply(), None);
+    let body = vec![b'a'; MAX_KEPT_BODY_BYTES + 1];
+    let kept = Answer::from_reply(&Reply { status: 201, headers: vec![], body, replayed: false });
+    assert_eq!(kept.body, Body::Long(MAX_KEPT_BODY_BYTES as u64 + 1));
+    assert_eq!(kept.to_reply(), None);
 }
 
-fn carry(id: &str, judged: u64) -> Entry {
-    let (key, id, print) = ("k".into(), id.into(), "p".into());
+fn carry(id: &str, read_end: u64) -> Entry {
+    let (key, id, content_hash) = ("k".into(), id.into(), "p".into());
     let (owner, state) = (("a".to_string(), 1), State::Settled(answer(1)));
-    Entry::Carry(Carry { judged, record: Record { key, print, id, owner, time_ms: 1_000, state } })
+    Entry::CheckpointRecord(CheckpointRecord {
+        read_end,
+        record: Record { key, content_hash, id, owner, time_ms: 1_000, state },
+    })
 }
 
-fn kept(judged: u64, count: usize, cutoff_ms: u64) -> Entry {
-    Entry::Kept(Kept { judged, count, starts: vec![("a".into(), 2)], cutoff_ms })
+fn kept(read_end: u64, count: usize, cutoff_ms: u64) -> Entry {
+    Entry::CheckpointEnd(CheckpointEnd {
+        read_end,
+        count,
+        starts: vec![("a".into(), 2)],
+        cutoff_ms,
+    })
 }
 
 struct Late {
@@ -235,11 +243,11 @@
     ];
     for case in cases {
         let mut ledger = Ledger::new();
-        assert!(ledger.skip(5));
+        assert!(ledger.skip_expired(5));
         for (n, entry) in case.entries.into_iter().enumerate() {
             ledger.apply(5 + n as u64, 1_500, &record("b", 1, vec![entry]));
         }
-        assert_eq!(ledger.complete(), case.complete, "{}", case.name);
+        assert_eq!(ledger.is_complete(), case.complete, "{}", case.name);
         assert_eq!(ledger.find("k").map(|r| r.id.as_str()), case.found, "{}", case.name);
     }
 }
@@ -249,7 +257,7 @@
 #[test]
 fn starts_are_carried() {
     let mut ledger = Ledger::new();
-    ledger.skip(5);
+    ledger.skip_expired(5);
     ledger.apply(5, 1_000, &record("b", 1, vec![kept(5, 0, 0)]));
     ledger.apply(6, 1_000, &record("a", 1, vec![intent("k", "old")]));
     assert!(ledger.find("k").is_none());
--- a/crates/agent/tests/play.rs
+++ b/crates/agent/tests/play.rs
@@ -3,7 +3,8 @@
 use std::rc::Rc;
 
 use agent::ledger::{
-    Answer, Batch, Body, Carry, Entry, Intent, Kept, Ledger, Mark, Receipt, Record,
+    Answer, Batch, Body, CheckpointEnd, CheckpointRecord, Entry, Intent, Ledger, Receipt, Record,
+    TryRef,
 };
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -58,7 +59,7 @@
     /// Tries seen to be first, about to be sent to the service.
     sending: Vec<Claim>,
     /// Carried writes still to be appended, and what they add up to.
-    carrying: Option<(Vec<Carry>, Kept)>,
+    carrying: Option<(Vec<CheckpointRecord>, CheckpointEnd)>,
 }
 
 struct World {
@@ -148,22 +149,22 @@
     };
     if trusts {
         // The bare reading of what is left: `apply` goes on behind the gap.
-    } else if process.ledger.skip(world.first as u64) {
+    } else if process.ledger.skip_expired(world.first as u64) {
         process.began = world.now();
         if !late {
             process.owner.1 = world.incarnation();
         }
     }
-    let active = process.ledger.active();
+    let active = process.ledger.last_active();
     let from = (process.ledger.next as usize).max(world.first);
     let to = rng.random_range(from..=world.log.len());
     for offset in from..to {
         process.ledger.apply(offset as u64, offset as u64 * RECORD_MS, &world.log[offset]);
     }
-    if process.ledger.active() > active {
+    if process.ledger.last_active() > active {
         process.began = world.now();
     }
-    if process.ledger.complete() {
+    if process.ledger.is_complete() {
         let agrees = match world.known.get(to) {
             Some(known) => **known == all(&process.ledger),
             None => all(&world.witness) == all(&process.ledger),
@@ -173,15 +174,15 @@
     if to < world.log.len() {
         return;
     }
-    if let Some(anew) = process.ledger.anew()
+    if let Some(anew) = process.ledger.reset_entry()
         && world.now() - process.began > WINDOW_MS
     {
         let owner = process.owner.clone();
-        world.append(&owner, Entry::Anew(anew), rng);
+        world.append(&owner, Entry::Reset(anew), rng);
         process.began = world.now();
         world.anew += 1;
     }
-    let started = process.ledger.started(&process.owner.0);
+    let started = process.ledger.incarnation_of(&process.owner.0);
     if started.is_none_or(|s| s < process.owner.1) {
         let owner = process.owner.clone();
         world.append(&owner, Entry::Start, rng);
@@ -197,9 +198,9 @@
     let claim = Claim { owner, key, id, until, time_ms: world.now() };
     match world.guard {
         Guard::None => process.sending.push(claim),
-        _ if unknown && process.ledger.ready(&process.owner) => {
+        _ if unknown && process.ledger.is_ready(&process.owner) => {
             let (key, id) = (claim.key.clone(), claim.id.clone());
-            let intent = Entry::Intent(Intent { key, print: "p".into(), id });
+            let intent = Entry::Intent(Intent { key, content_hash: "p".into(), id });
             world.append(&claim.owner, intent, rng);
             process.claimed.push(claim);
         }
@@ -211,7 +212,7 @@
     for mut claim in std::mem::take(&mut process.claimed) {
         let found = process.ledger.find(&claim.key);
         let runs = match claim.owner == process.owner {
-            true => process.ledger.runs(&claim.key, &claim.id, &claim.owner),
+            true => process.ledger.is_first(&claim.key, &claim.id, &claim.owner),
             false => None,
         };
         match runs {
@@ -224,11 +225,11 @@
             None => process.claimed.push(claim),
         }
     }
-    if process.ledger.complete() {
+    if process.ledger.is_complete() {
         for claim in std::mem::take(&mut process.abandoned) {
             match process.ledger.find(&claim.key).is_some_and(|r| r.id == claim.id) {
                 true => {
-                    let mark = Mark { key: claim.key, id: claim.id };
+                    let mark = TryRef { key: claim.key, id: claim.id };
                     world.append(&claim.owner, Entry::Void(mark), rng);
                 }
                 false => process.abandoned.push(claim),
@@ -243,8 +244,8 @@
     let (key, id) = (claim.key.clone(), claim.id.clone());
     let reached = world.now() < claim.until && rng.random_bool(0.7);
     let entry = match rng.random_bool(0.5) {
-        _ if !reached => Entry::Void(Mark { key, id }),
-        true => Entry::Lost(Mark { key, id }),
+        _ if !reached => Entry::Void(TryRef { key, id }),
+        true => Entry::Lost(TryRef { key, id }),
         false => {
             let answer = Answer { status: 201, headers: vec![], body: Body::Text("1".into()) };
             Entry::Receipt(Receipt { key, id, answer })
@@ -262,7 +263,7 @@
     let owner = process.owner.clone();
     match process.carrying.take() {
         None => {
-            process.carrying = process.ledger.carry(WINDOW_MS);
+            process.carrying = process.ledger.checkpoint(WINDOW_MS);
             if let (Guard::NoCarry, Some((writes, kept))) = (world.guard, &mut process.carrying) {
                 writes.clear();
                 kept.count = 0;
@@ -273,11 +274,11 @@
                 // Appended again until its answer says that it stands there.
                 let before = world.log.len();
                 while world.log.len() == before {
-                    world.append(&owner, Entry::Carry(write.clone()), rng);
+                    world.append(&owner, Entry::CheckpointRecord(write.clone()), rng);
                 }
                 process.carrying = Some((writes, kept));
             }
-            None => world.append(&owner, Entry::Kept(kept), rng),
+            None => world.append(&owner, Entry::CheckpointEnd(kept), rng),
         },
     }
 }
--- a/crates/agent/tests/turn.rs
+++ b/crates/agent/tests/turn.rs
@@ -1,7 +1,7 @@
 //! Order and fencing of a stage's sessions over many seeds, without a network.
 
 use agent::fence::Fence;
-use agent::turn::{Due, Turn};
+use agent::sequencer::{Decision, Sequencer};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use wire::frame::{Output, Step};
@@ -17,7 +17,7 @@
 #[derive(Default)]
 struct Session {
     attempt: u32,
-    turn: Turn,
+    sequencer: Sequencer,
     state: u64,
     ran: Vec<u32>,
 }
@@ -29,7 +29,7 @@
 
 /// The engine runs the step; the answer may be lost on its way.
 fn run(session: &mut Session, step: &Step, lost: bool) -> Option<Output> {
-    session.turn.begin();
+    session.sequencer.begin();
     let mut outputs = Vec::new();
     for (position, input) in (step.position..).zip(&step.inputs) {
         session.ran.push(position);
@@ -38,7 +38,7 @@
     }
     let output = Output { position: step.position, outputs, token: None };
     (!lost).then(|| {
-        session.turn.done(step.clone(), output.clone()).unwrap();
+        session.sequencer.done(step.clone(), output.clone()).unwrap();
         output
     })
 }
@@ -80,8 +80,8 @@
             // Mostly the next position, else any: an earlier one or a later one.
             let position = if rng.random_bool(0.7) { due } else { rng.random_range(0..due + 3) };
             let asked = step(position, rng.random_range(1..4));
-            match session.turn.due(&asked, session.attempt, newest) {
-                Ok(Due::Run) => {
+            match session.sequencer.check(&asked, session.attempt, newest) {
+                Ok(Decision::Run) => {
                     assert!(session.attempt >= newest, "seed {seed}: an old attempt ran");
                     let lost = rng.random_bool(0.1);
                     let output = run(session, &asked, lost);
@@ -89,7 +89,7 @@
                     let end = position + asked.inputs.len() as u32 - 1;
                     assert!(lost || last == Some(straight(end)), "seed {seed}");
                 }
-                Ok(Due::Kept(output)) => {
+                Ok(Decision::Replay(output)) => {
                     let end = position + asked.inputs.len() as u32 - 1;
                     assert_eq!(output.outputs.last(), Some(&straight(end)), "seed {seed}");
                 }
@@ -108,7 +108,7 @@
     let mut session = Session::default();
     let first = step(0, 2);
     assert!(run(&mut session, &first, true).is_none());
-    assert_eq!(session.turn.due(&first, 0, 0).unwrap_err().cause, Cause::Lost);
+    assert_eq!(session.sequencer.check(&first, 0, 0).unwrap_err().cause, Cause::Lost);
 }
 
 /// One request may run two ranges at one agent in turn, when its engine was
