--- a/crates/agent/src/call.rs
+++ b/crates/agent/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls of the plain service beside this agent.
+//! Calls to the plain service beside this agent.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -12,13 +12,13 @@
 use crate::write::Writer;
 use crate::{Agent, write};
 
-/// Time after which a caller may come back to a full agent.
+/// Retry-after time given when all slots are taken.
 const BUSY_RETRY: Duration = Duration::from_millis(100);
 
-/// Time after which a caller may come back to a service that can't be reached.
+/// Retry-after time given when the service can't be reached.
 const DOWN_RETRY: Duration = Duration::from_secs(1);
 
-/// Header lines that belong to one connection and are not passed on.
+/// Hop-by-hop header fields, which are not forwarded.
 const HOP_BY_HOP: [&str; 8] = [
     "connection",
     "content-length",
@@ -30,19 +30,19 @@
     "upgrade",
 ];
 
-/// The plain service beside this agent.
+/// A plain service used as the backend server.
 #[derive(Debug)]
 pub struct Service {
-    /// Its name in the settings.
+    /// Name in the settings.
     pub name: String,
-    /// Keeps writes to at most one run a key.
+    /// Ensures that a write runs at most once for each key.
     pub writer: Arc<Writer>,
     vm: String,
     http: rest::Client,
     slots: Slots,
 }
 
-/// Starts what an agent of a service needs.
+/// Creates the service and starts its writer.
 pub fn start(node: &Arc<Node>, name: String, address: &str, slots: Slots) -> Arc<Service> {
     let writer = write::start(node, &name);
     let http = rest::Client::new(address, Duration::from_secs(30));
@@ -50,7 +50,7 @@
     Arc::new(Service { name, writer, vm, http, slots })
 }
 
-/// Runs a call by the contract of its route.
+/// Runs a call according to the class of its route.
 pub async fn run(agent: Arc<Agent>, service: Arc<Service>, call: Call) -> Result<Reply, Refusal> {
     if agent.is_leaving() {
         let why = "the VM is leaving";
@@ -66,7 +66,7 @@
 }
 
 impl Service {
-    /// Takes a slot or refuses at once.
+    /// Takes a slot, or refuses at once if none is free.
     pub fn slot(&self) -> Result<Slot, Refusal> {
         self.slots.take().ok_or_else(|| {
             let why = format!("all {} slots are taken", self.slots.total());
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Sends the call to the service once.
+    /// Sends the call to the service, once.
     pub async fn send(&self, call: &Call, _slot: Slot) -> Result<Reply, Refusal> {
         let begun = Instant::now();
         let headers: Vec<_> = call.headers.iter().filter(|h| is_forwarded(&h.0)).cloned().collect();
--- a/crates/agent/src/chain.rs
+++ b/crates/agent/src/chain.rs
@@ -1,8 +1,8 @@
-//! The ranges of layers of one draft, as its head sees them.
+//! Runs a draft through all ranges of layers of its model, on behalf of its head.
 //!
-//! The head sends each position through the ranges in order and keeps the inputs
-//! of every range. When a range's stage is lost, a replica gets the kept inputs
-//! again under a higher attempt number: only the lost layers run again.
+//! The head sends each position through the ranges in order and records the inputs of every
+//! range. When the stage that runs a range is lost, the recorded inputs are replayed at another
+//! replica under a higher attempt number, so only the lost layers run again.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,37 +15,38 @@
 use crate::Agent;
 use crate::session::{self, Session, lost};
 
-/// Extra patience for each position of a step beyond the first, for long prompts.
+/// Added to the step time-out for each position after the first: a step with a long prompt takes
+/// longer.
 const TIMEOUT_PER_POSITION: Duration = Duration::from_millis(10);
 
-/// Pause before a draft that ran at a crash runs alone elsewhere. Engines that
-/// die together by another cause have died by then; without it a draft that has
-/// just begun to run alone at the second of them would be held to be at fault.
+/// Pause before a draft that was running at a crash runs alone elsewhere. Engines that fail
+/// together for another reason have crashed by then. Without the pause, a draft that had just
+/// started to run alone on the second of them would be blamed for its crash.
 const ISOLATION_DELAY: Duration = Duration::from_millis(100);
 
-/// Pauses between rounds of looking for a replica.
+/// Pause between two rounds of trying all replicas.
 const ROUND_PAUSE: Duration = Duration::from_millis(50);
 
-/// What stays the same for all ranges of a draft.
+/// Parameters of a draft that are the same for all ranges.
 #[derive(Debug, Clone)]
 pub struct Params {
-    /// The request.
+    /// Id of the request.
     pub request: id::Request,
     /// Engine priority.
     pub priority: u8,
-    /// Hash of the content.
+    /// Hash of the request's content.
     pub fingerprint: id::Fingerprint,
-    /// True when it was running at a crash of an engine.
+    /// True when the draft was running at a crash of an engine.
     pub suspect: bool,
-    /// Model and start of the prompt.
+    /// Model and start of the prompt, shown to operators.
     pub tag: String,
-    /// Silence after which a stage is replaced.
+    /// Time without an answer after which a stage is replaced.
     pub step_timeout: Duration,
-    /// When the caller no longer waits.
+    /// Time at which the caller gives up.
     pub deadline: Instant,
 }
 
-/// One range of a draft.
+/// A range of layers and the session that runs it.
 #[derive(Debug)]
 struct Range {
     hop: Hop,
@@ -57,7 +58,7 @@
     suspect: bool,
 }
 
-/// All ranges of a draft.
+/// The ranges of a draft with their sessions.
 #[derive(Debug)]
 pub struct Chain {
     agent: Arc<Agent>,
@@ -66,13 +67,13 @@
     position: id::Position,
     /// Stages replaced so far.
     pub replaced: u32,
-    /// Layer runs repeated so far.
+    /// Layer runs repeated so far because a stage was lost.
     pub repeated: u64,
 }
 
 impl Chain {
-    /// Opens a session at one replica of every range, the first one here. On a
-    /// refusal all that was opened is closed and nothing has run.
+    /// Opens a session at one replica of every range; the first range runs at this agent. On a
+    /// refusal all opened sessions are closed, and nothing has run.
     pub async fn open(
         agent: Arc<Agent>,
         params: Params,
@@ -105,7 +106,7 @@
         self.open_session(i, &places).await
     }
 
-    /// Runs all ranges on the next positions and returns the token after them.
+    /// Runs all ranges on the next positions and returns the token sampled after them.
     pub async fn run(&mut self, inputs: &[u64]) -> Result<Sample, Refusal> {
         let mut hidden = inputs.to_vec();
         let mut token = None;
@@ -130,7 +131,7 @@
         Ok(output)
     }
 
-    /// Sends one step to where the range runs, and checks that the answer is that step's.
+    /// Runs one step in the range's session, and checks that the output belongs to this step.
     async fn step(&mut self, i: usize, step: Step) -> Result<Output, Refusal> {
         let timeout =
             self.params.step_timeout + TIMEOUT_PER_POSITION * (step.inputs.len() as u32 - 1);
@@ -142,13 +143,14 @@
         let output = ran.map_err(|_| lost("step", &peer, "no answer in time"))??;
         match output.position == position && output.outputs.len() == count {
             true => Ok(output),
-            // An answer to another step would put layers out of order: the
-            // text would differ from the straight-through one.
+            // With the output of another step the positions would get out of order, and the text
+            // would differ from that of an uninterrupted run.
             false => Err(lost("step", &peer, "the answer belongs to another step")),
         }
     }
 
-    /// Finds a replica for a lost stage and runs its kept inputs and the new step there.
+    /// Opens the range at another replica after its stage was lost, and replays the recorded
+    /// inputs and the new step there.
     async fn replace(&mut self, i: usize, step: &Step, cause: Refusal) -> Result<Output, Refusal> {
         let mut failed = Vec::new();
         let mut last = cause;
@@ -159,8 +161,8 @@
                 return Err(last);
             }
             let range = &mut self.ranges[i];
-            // At one crash it is not known which of the requests that ran is at
-            // fault: run beside others again, it would take them down once more.
+            // After one crash it is not known which of the running requests caused it. If this
+            // one did and ran beside others again, it would crash another engine under them.
             range.suspect |= last.cause == Cause::Crashed;
             if last.cause == Cause::Crashed {
                 tokio::time::sleep(ISOLATION_DELAY).await;
@@ -183,7 +185,7 @@
         Err(Refusal::unknown(Cause::Deadline, "replace", &last.peer, why))
     }
 
-    /// Adds replicas of the range that the draft did not come with.
+    /// Asks a router for the current replicas of the range and puts them first in the list.
     async fn refresh_replicas(&mut self, i: usize) {
         let found = session::query_replicas(&self.agent, &self.ranges[i].hop.stage).await;
         let known = &mut self.ranges[i].hop.replicas;
@@ -210,7 +212,8 @@
         })
     }
 
-    /// Replicas to try, those that failed oftener later: they may have come back.
+    /// Returns the replicas to try, those with more failures later. Failed ones stay in the list,
+    /// since they may have recovered.
     fn places(&self, i: usize, failed: &[id::Vm]) -> Vec<Place> {
         let mut places = self.ranges[i].hop.replicas.clone();
         if i == 0 && !places.iter().any(|p| p.vm == self.agent.node.process.vm) {
@@ -220,7 +223,7 @@
         places
     }
 
-    /// Opens a session of the range at the first of the places that has room.
+    /// Opens a session of the range at the first of `places` that accepts it.
     async fn open_session(&mut self, i: usize, places: &[Place]) -> Result<(), Refusal> {
         let range = &self.ranges[i];
         let open = Open {
@@ -244,7 +247,7 @@
     }
 }
 
-/// True when trying elsewhere is of no use or would do harm.
+/// True when a retry at another replica is useless or harmful.
 fn is_final(cause: Cause) -> bool {
     matches!(cause, Cause::Quarantined | Cause::Fenced | Cause::Cancelled)
 }
--- a/crates/agent/src/handler.rs
+++ b/crates/agent/src/handler.rs
@@ -1,4 +1,4 @@
-//! Answers to what routers, heads and operators ask of an agent.
+//! Handles the commands of routers, heads and operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,10 +10,10 @@
 
 use crate::{Agent, call, draft, stage};
 
-/// Pause between looks for a change that routers have to hear of at once.
+/// Interval of checks for a change that is reported to the routers at once.
 const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Answers one stream.
+/// Handles the command that opened a stream.
 pub async fn handle(agent: Arc<Agent>, command: Command, mut stream: Stream) {
     let _work = match command {
         Command::Draft(_) | Command::Attach(_) | Command::Open(_) | Command::Call(_) => {
@@ -48,7 +48,7 @@
             let text = status(&agent).to_string();
             reply(&mut stream, Frame::Text(text)).await;
         }
-        // Answered by the node crate before this one is asked.
+        // Handled by the node crate before it calls this crate.
         Command::Settings | Command::Explain(_) => {}
         // Only routers know the replicas of a range.
         Command::Replicas(_) | Command::Gaps(_) => {}
@@ -70,12 +70,13 @@
     Refusal::not_run(Cause::Unavailable, step, &agent.node.process.vm, why)
 }
 
-/// Sends the agent's state at each report interval, and at once when a router
-/// that did not know would send work in vain: leaving, or another backend state. Also
-/// when a slot frees that the last report told as taken: only the router whose draft
-/// ended would know of it, and drafts that wait at the others would wait on.
+/// Sends the agent's state at each report interval, and at once after a change without which a
+/// router would send requests in vain: the agent is leaving, or the backend state or the
+/// quarantine differs. Also sends it when a slot becomes free after a report without free slots:
+/// only the router whose draft ended knows of that slot, and drafts queued at the other routers
+/// would keep waiting.
 async fn report(agent: Arc<Agent>, watch: Watch, mut stream: Stream) {
-    log::debug!("report: {} watches", watch.vm);
+    log::debug!("report: sending reports to {}", watch.vm);
     loop {
         let sent = agent.report();
         if stream.send(&Frame::Report(Box::new(sent.clone()))).await.is_err() {
@@ -95,9 +96,9 @@
     }
 }
 
-/// Serves the steps of a session for a head elsewhere.
+/// Runs the steps of a session for a head at another agent.
 async fn serve_stage(agent: &Agent, table: Arc<stage::Table>, open: Open, mut stream: Stream) {
-    // A replacement is let in by a leaving agent too: it serves a draft in progress.
+    // A leaving agent still accepts a replacement session: it serves a draft in progress.
     let fresh = open.attempt.is_multiple_of(wire::frame::HEAD_STRIDE);
     let opened = match fresh && agent.is_leaving() {
         true => Err(Refusal::not_run(
@@ -116,8 +117,8 @@
         return;
     }
     while let Ok(Some(Frame::Step(step))) = stream.next().await {
-        // A head that has given this stage up no longer reads: without this the
-        // slot would stay taken as long as the engine hangs.
+        // A head that has given up on this stage stops reading the stream. Without this check the
+        // slot would stay taken for as long as the engine hangs.
         let frame = tokio::select! {
             ran = session.step(step) => ran.map_or_else(Frame::Refused, Frame::Output),
             () = stream.stopped() => return,
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon beside each backend server.
+//! The daemon that runs beside each backend server.
 //!
-//! It is the only process that talks to its backend server, so it alone knows
-//! what runs there: it holds the slots, keeps the order of steps, fences off old
-//! attempts, sees to it that a write runs at most once, and drains.
+//! It is the only process that talks to its backend server, so it alone knows what runs there: it
+//! admits requests to slots, enforces the order of steps, fences off old attempts, ensures that a
+//! write runs at most once, and drains the server.
 
 pub mod handler;
 pub mod call;
@@ -28,27 +28,27 @@
 use salvo::conn::TcpListener;
 use wire::frame::{Backend, Report};
 
-/// An agent and its parts.
+/// State of one agent.
 #[derive(Debug)]
 pub struct Agent {
-    /// What every daemon has.
+    /// State that every daemon has.
     pub node: Arc<Node>,
-    /// Its slots.
+    /// Admits requests to the backend server.
     pub slots: slot::Slots,
-    /// Sessions at the engine, when it stands beside one.
+    /// Sessions at the engine, if the backend server is an engine.
     pub stage: Option<Arc<stage::Table>>,
-    /// Calls, when it stands beside a plain service.
+    /// The plain service, if the backend server is one.
     pub service: Option<Arc<call::Service>>,
-    /// Drafts it drives as head.
+    /// Drafts that this agent drives as their head.
     pub drafts: draft::Table,
-    /// Requests being answered, down to the last byte, and receipts on their way
-    /// to the log. A drain waits for them: slots alone are free again before the
-    /// answer has left, and an answer cut off there would be in doubt.
+    /// Requests being answered, until the last byte is sent, and receipts not yet appended to the
+    /// log. A drain waits for them: a slot is free before its answer has been sent, and if that
+    /// answer were cut off, the outcome of the request would be unknown.
     pub work: Work,
 }
 
 impl Agent {
-    /// What stands beside it and can be used now.
+    /// Returns the backend server if it can be used now.
     pub fn backend(&self) -> Backend {
         match (&self.stage, &self.service) {
             (Some(stage), _) => stage.loaded().map_or(Backend::None, Backend::Stage),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// True when it takes no new work: told to stop, or listed as leaving.
+    /// True when the agent accepts no new work: it is stopping, or its VM is listed as leaving.
     pub fn is_leaving(&self) -> bool {
         let list = self.node.vms.borrow();
         let vm = &self.node.process.vm;
@@ -65,7 +65,7 @@
         listed || self.node.stop.raised()
     }
 
-    /// Its state for the routers.
+    /// Returns the state that is reported to the routers.
     pub fn report(&self) -> Report {
         let (suspects, quarantined) = self.node.quarantine.lists();
         Report {
@@ -85,8 +85,8 @@
 
     /// False while this agent would refuse the non-idempotent writes of its service.
     ///
-    /// Without it a rolling restart would go on to the next agent while this one still
-    /// reads the log, until no agent of the service is left that takes a write.
+    /// Without this check a rolling restart would proceed to the next agent while this one still
+    /// reads the log, until no agent of the service accepts writes.
     fn accepts_writes(&self) -> bool {
         // Routes that are not listed count as non-idempotent, so any service can have some.
         self.service.as_ref().is_none_or(|service| service.writer.is_ready())
@@ -98,20 +98,20 @@
             () if !self.node.settings.borrow().caught_up => {
                 Err("the settings have not been read yet".into())
             }
-            // An engine that holds nothing is a spare: it can be ordered to load.
+            // An engine without layers is a spare: it can be ordered to load some.
             () if self.stage.as_ref().is_some_and(|t| t.is_spare()) => Ok(()),
             () if self.backend() == Backend::None => {
                 Err("the backend server can't be used now".into())
             }
-            // Reports don't wait for this: look-ups go on while the log is out, and a
-            // router that is told "not run" asks the next agent for a write.
+            // Reports don't wait for this: reads are served while the log is unavailable, and a
+            // router that gets "not run" sends the write to the next agent.
             () if !self.accepts_writes() => Err("the log of writes has not been read yet".into()),
             () => Ok(()),
         }
     }
 }
 
-/// Runs an agent until it is told to stop and its work is done.
+/// Runs an agent until it is stopped and its requests have ended.
 pub async fn run(process: Process) -> Result<(), Error> {
     let backend = process
         .backend
@@ -154,7 +154,7 @@
     if left > 0 {
         log::warn!("agent: stopping with {left} requests in progress after {limit:?}");
     }
-    // Gives the last answers on the links time to leave.
+    // Leaves time to deliver the last answers.
     tokio::time::sleep(Duration::from_millis(300)).await;
     node.peers.endpoint().close(0u32.into(), b"stopped");
     node.peers.endpoint().wait_idle().await;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon beside each backend server. See `hyssop-agent --help`.
+//! The daemon that runs beside each backend server. See `hyssop-agent --help`.
 
 use std::process::ExitCode;
 
