--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -1,10 +1,10 @@
-//! Crashes of the engine: which requests ran, and running suspects alone.
+//! Tracks engine crashes and runs suspected requests alone.
 //!
-//! An engine batches, so at a crash any request with a step in progress may be at
-//! fault. Each of them becomes a suspect, and the step that was in progress is run
-//! again with no other step beside it. Either it passes, then the request is
-//! cleared, or the engine crashes again, then it was at fault and is refused
-//! everywhere. Only that one step runs alone, so the others wait for milliseconds.
+//! An engine runs steps in batches, so any request with a step in progress may have caused a
+//! crash. Each of them becomes a suspect, and the interrupted step is retried with no other step
+//! beside it. If the retry succeeds, the request is cleared; if the engine crashes again, the
+//! request is at fault and is refused everywhere. Only this one step runs alone, so other
+//! requests wait for milliseconds.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -16,12 +16,12 @@
 use wire::quarantine::{Running, format_fingerprint};
 use wire::refusal::{Cause, Refusal};
 
-/// Engine processes remembered as crashed.
+/// Crashed engine processes that are remembered, so that each crash is reported once.
 const MAX_REPORTED_CRASHES: usize = 64;
 
-/// Time for all daemons to hear of a quarantine before its caller does: the
-/// caller may send the request again at once, through a router that does not
-/// know yet, and take down one more engine.
+/// Delay before the caller learns that its request is quarantined, in which the news reaches all
+/// daemons. A caller may retry at once through a router that has not received it, and the request
+/// would crash one more engine.
 pub const PROPAGATION_DELAY: Duration = Duration::from_millis(200);
 
 /// A step in progress.
@@ -30,7 +30,7 @@
     number: u64,
     incarnation: String,
     running: Running,
-    /// True once it was named as running at a crash.
+    /// True if the engine crashed while the step was in progress.
     in_crash: bool,
 }
 
@@ -38,31 +38,31 @@
 struct State {
     count: u64,
     steps: Vec<Step>,
-    /// Incarnations of engines whose crash has been told, oldest first.
+    /// Incarnations of engines whose crash has been reported, oldest first.
     reported: Vec<String>,
 }
 
-/// Steps in progress at the engine, and its crashes.
+/// Tracks the steps in progress at the engine and reports its crashes.
 #[derive(Debug, Default)]
 pub struct Monitor {
     state: Mutex<State>,
-    /// Held for reading by every step, for writing by a step that runs alone.
+    /// Read-locked by every step, write-locked by a step that runs alone.
     exclusive: RwLock<()>,
 }
 
-/// A step in progress until this is dropped.
+/// Marks a step as in progress until it is dropped.
 #[derive(Debug)]
 pub struct StepGuard<'a> {
     monitor: &'a Monitor,
     number: u64,
 }
 
-/// The right to run a step, with others beside it or alone.
+/// Permission to run a step.
 #[derive(Debug)]
 pub enum Permit<'a> {
-    /// Others may run too.
+    /// Other steps may run at the same time.
     Shared(RwLockReadGuard<'a, ()>),
-    /// Nothing else runs.
+    /// No other step runs.
     Exclusive(RwLockWriteGuard<'a, ()>),
 }
 
@@ -71,7 +71,7 @@
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use agent::crash::{Permit, Monitor};
+    /// use agent::crash::{Monitor, Permit};
     /// let monitor = Monitor::default();
     /// assert!(matches!(monitor.acquire(true).await, Permit::Exclusive(_)));
     /// # });
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Notes that a step goes to the engine.
+    /// Records that a step is sent to the engine.
     pub fn begin_step(&self, incarnation: &str, running: Running) -> StepGuard<'_> {
         let mut state = self.state.lock().expect("no panic while held");
         state.count += 1;
@@ -97,7 +97,7 @@
         StepGuard { monitor: self, number }
     }
 
-    /// Tells the fleet of the crash of an engine process, once for each.
+    /// Reports the crash of an engine process to the fleet, once for each process.
     pub fn report_crash(&self, node: &Node, incarnation: &str) {
         let running = {
             let mut state = self.state.lock().expect("no panic while held");
@@ -121,8 +121,8 @@
 }
 
 impl StepGuard<'_> {
-    /// True when the engine crashed while the step was in progress. What was
-    /// begun later never reached that engine, and its loss proves nothing.
+    /// Returns true if the engine crashed while the step was in progress. A step that began later
+    /// never reached that engine process, so its failure proves nothing.
     pub fn in_crash(&self) -> bool {
         let state = self.monitor.state.lock().expect("no panic while held");
         state.steps.iter().any(|s| s.number == self.number && s.in_crash)
@@ -136,7 +136,7 @@
     }
 }
 
-/// What to answer for a step that was in progress at a crash.
+/// Returns the refusal for a step that was in progress at a crash.
 pub async fn step_refusal(node: &Node, fingerprint: Fingerprint) -> Refusal {
     let vm = &node.process.vm;
     match node.quarantine.verdict(fingerprint) {
@@ -148,7 +148,7 @@
     }
 }
 
-/// The refusal of a request in quarantine.
+/// Returns the refusal for a request in quarantine.
 pub fn refusal(vm: &str, step: &str, left: Duration) -> Refusal {
     let why = format!(
         "it crashed two engines and is refused everywhere for {} s, or until an operator lifts it",
@@ -157,7 +157,7 @@
     Refusal::refused(Cause::Quarantined, step, vm, why)
 }
 
-/// How a request is named in the records.
+/// Identifies a request in the records of the quarantine.
 pub fn running(fingerprint: Fingerprint, request: &str, tag: &str) -> Running {
     Running {
         fingerprint: format_fingerprint(fingerprint),
--- a/crates/agent/src/draft.rs
+++ b/crates/agent/src/draft.rs
@@ -1,7 +1,7 @@
 //! Drafts that this agent drives as their head.
 //!
-//! A draft runs in a task of its own. The router's stream only follows it, so
-//! that the draft outlives the router and the caller can go on through another.
+//! A draft runs in its own task, and the router's stream only follows it. So the draft survives
+//! the loss of the router, and the caller can resume it through another one.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,37 +17,37 @@
 use crate::chain::{Chain, Params};
 use crate::{Agent, crash};
 
-/// A draft that nobody has followed for this long is given up: its caller has
-/// gone together with its router. Long enough for a caller to notice a broken
-/// connection and come back through the balancer.
+/// Time without a follower after which a draft is cancelled: its caller is gone, and so is the
+/// router. Long enough for a caller to notice a broken connection and reconnect through the load
+/// balancer.
 const ORPHAN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often followers are counted.
+/// Interval at which the followers of a draft are counted.
 const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Characters of the prompt shown to operators.
+/// Characters of the prompt that are shown to operators.
 const MAX_TAG_CHARS: usize = 60;
 
-/// How far a draft has come.
+/// Tokens generated so far, and the outcome once the draft has ended.
 #[derive(Debug, Default, Clone)]
 struct Progress {
     samples: Vec<Sample>,
     end: Option<Result<Done, Refusal>>,
 }
 
-/// A draft that runs or has ended lately.
+/// A draft that is running or has recently ended.
 #[derive(Debug)]
 pub struct Run {
     request: id::Request,
     workspace: id::Workspace,
     prompt_tokens: u32,
-    /// Generated tokens that the caller had before this head took over.
+    /// Number of generated tokens that the caller had before this head took over.
     offset: u32,
     progress: watch::Sender<Progress>,
     cancelled: watch::Sender<bool>,
 }
 
-/// The drafts of this agent.
+/// Drafts of which this agent is the head.
 #[derive(Debug, Default)]
 pub struct Table {
     /// Sorted by request id.
@@ -55,13 +55,13 @@
 }
 
 impl Table {
-    /// Drafts in progress.
+    /// Returns the number of drafts in progress.
     pub fn running(&self) -> usize {
         let runs = self.runs.lock().expect("no panic while held");
         runs.iter().filter(|r| r.progress.borrow().end.is_none()).count()
     }
 
-    /// Puts a run in; returns the one of the same id that was there before.
+    /// Inserts a run and returns the previous one with the same id, if any.
     fn replace(&self, run: Arc<Run>) -> Option<Arc<Run>> {
         let mut runs = self.runs.lock().expect("no panic while held");
         match runs.binary_search_by(|r| r.request.cmp(&run.request)) {
@@ -77,7 +77,7 @@
         self.runs.lock().expect("no panic while held").retain(|r| !Arc::ptr_eq(r, run));
     }
 
-    /// The draft, if it is of that workspace.
+    /// Returns the draft, if it belongs to `workspace`.
     fn find(&self, request: &str, workspace: &str) -> Option<Arc<Run>> {
         let runs = self.runs.lock().expect("no panic while held");
         let i = runs.binary_search_by(|r| r.request.as_str().cmp(request)).ok()?;
@@ -85,7 +85,7 @@
     }
 }
 
-/// Takes a draft as its head and follows it on the router's stream.
+/// Starts a draft with this agent as its head and sends its tokens on the router's stream.
 pub async fn run(agent: Arc<Agent>, draft: Draft, mut stream: Stream) {
     match begin(&agent, draft).await {
         Ok(run) => {
@@ -101,7 +101,7 @@
     }
 }
 
-/// Follows a draft for a caller that has `after` tokens already.
+/// Sends the tokens of a draft to a caller that already has the first `after` of them.
 pub async fn attach(agent: Arc<Agent>, command: Attach, mut stream: Stream) {
     let vm = &agent.node.process.vm;
     let found = agent.drafts.find(&command.request, &command.workspace);
@@ -130,7 +130,7 @@
     }
 }
 
-/// Gives up a draft whose caller has gone.
+/// Cancels a draft whose caller is gone.
 pub fn cancel(agent: &Agent, command: &Cancel) {
     if let Some(run) = agent.drafts.find(&command.request, &command.workspace) {
         agent.node.trace.add(&command.request, "cancel", "the caller has gone");
@@ -166,8 +166,8 @@
         cancelled: watch::Sender::new(false),
     });
     if let Some(old) = agent.drafts.replace(run.clone()) {
-        // The router took this head for lost and came back to it: the first run
-        // would go on beside the new one, and a caller could be given either.
+        // The router treated this head as lost and then chose it again. The first run would
+        // continue beside the new one, and the caller could receive the tokens of either.
         old.cancelled.send_replace(true);
     }
     agent.node.trace.add(&draft.request, "accept", format!("accepted as head by {vm}"));
@@ -188,7 +188,7 @@
     }
 }
 
-/// Runs the draft to its end, then keeps it for a while for callers that come back.
+/// Runs the draft to its end, then keeps it for a while for callers that reconnect.
 async fn drive(agent: Arc<Agent>, run: Arc<Run>, mut chain: Chain, inputs: Vec<u64>, draft: Draft) {
     let mut cancelled = run.cancelled.subscribe();
     let generated = tokio::select! {
@@ -205,7 +205,7 @@
         Err(refusal) => refusal.to_string(),
     };
     agent.node.trace.add(&run.request, "end", text);
-    // Frees the slots of all stages before the router hears of the end.
+    // Frees the slots of all stages before the router receives the end.
     drop(chain);
     run.progress.send_modify(|p| p.end = Some(end));
 
@@ -234,7 +234,7 @@
     Ok(count)
 }
 
-/// Resolves when nobody has followed the draft for [`ORPHAN_TIMEOUT`].
+/// Completes when nobody has followed the draft for [`ORPHAN_TIMEOUT`].
 async fn wait_until_orphaned(run: &Run) {
     let mut since = Instant::now();
     loop {
@@ -253,7 +253,7 @@
     Refusal::unknown(Cause::Cancelled, "generate", &agent.node.process.vm, why)
 }
 
-/// Sends the tokens from number `after` on as they come, then the end.
+/// Sends the tokens from index `after` on as they are generated, then the outcome.
 async fn follow(run: &Run, after: u32, mut stream: Stream) {
     let mut progress = run.progress.subscribe();
     let mut sent = (after - run.offset) as usize;
@@ -273,7 +273,7 @@
             Some(Ok(done)) => Frame::Done(done),
             Some(Err(refusal)) => Frame::Refused(refusal),
             None => {
-                // Also ends when the router has gone: nobody reads the stream.
+                // Also returns when the router no longer reads the stream.
                 tokio::select! {
                     _ = progress.changed() => continue,
                     () = stream.stopped() => return,
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -1,15 +1,15 @@
-//! The highest attempt seen of each request, so that older ones are refused.
+//! Records the highest attempt of each request, so that lower ones are refused.
 
 use std::time::Instant;
 
 use wire::id;
 
-/// Highest attempts remembered for requests whose session has ended here. A
-/// frozen head that thaws after this many newer requests could open an old
-/// attempt again; its output would still be used by nobody.
+/// Maximum number of recorded attempts. Above it the oldest ended sessions are evicted. A frozen
+/// head that resumes after this many newer requests could open an old attempt again; nobody would
+/// use its output.
 pub const MAX_ENTRIES: usize = 20_000;
 
-/// Highest attempt seen of a request at a range.
+/// Highest attempt of a request at a range.
 #[derive(Debug, Clone)]
 struct Entry {
     key: String,
@@ -17,7 +17,7 @@
     ended: Option<Instant>,
 }
 
-/// All highest attempts.
+/// The highest attempt of each request.
 #[derive(Debug, Clone, Default)]
 pub struct Fence {
     /// Sorted by key.
@@ -25,11 +25,11 @@
 }
 
 impl Fence {
-    /// Notes an attempt as the newest; an error with the newest one when it is older.
+    /// Records an attempt. Returns the highest one as an error if it is higher than `attempt`.
     ///
-    /// Without it a head that was frozen and thaws would go on running a request
-    /// that another head has taken over: its layers would run twice for a token,
-    /// and the engine's books would show two sessions side by side.
+    /// Without this check, a head that was frozen and resumes would continue a request that
+    /// another head has taken over: layers would run twice for a token, and the engine would
+    /// record two sessions of the request side by side.
     ///
     /// ```
     /// let mut fence = agent::fence::Fence::default();
@@ -52,12 +52,12 @@
         Ok(())
     }
 
-    /// The highest attempt seen; 0 when there was none.
+    /// Returns the highest attempt seen, or 0 if there was none.
     pub fn newest(&self, key: &str) -> id::Attempt {
         self.position(key).map_or(0, |i| self.entries[i].attempt)
     }
 
-    /// A session has ended at `now`; its attempt may be forgotten some time later.
+    /// Records that a session ended at `now`. Its attempt may be evicted later.
     pub fn ended(&mut self, key: &str, now: Instant) {
         if let Ok(i) = self.position(key) {
             self.entries[i].ended = Some(now);
@@ -68,7 +68,7 @@
         self.entries.binary_search_by(|s| s.key.as_str().cmp(key))
     }
 
-    /// Makes room by forgetting the sessions that ended first.
+    /// Evicts the older half of the ended sessions when the table is full.
     fn evict_ended(&mut self) {
         if self.entries.len() < MAX_ENTRIES {
             return;
--- a/crates/agent/src/ledger.rs
+++ b/crates/agent/src/ledger.rs
@@ -1,18 +1,18 @@
-//! What the log says of writes: which intent of a key was first, and its outcome.
+//! The ledger of writes: which intent of a key was first in the log, and its outcome.
 //!
-//! A pure state machine: every agent beside a service applies the records of the
-//! service's stream in order and comes to the same answer. Before a write is sent
-//! to the service its intent stands in the log; the first intent of a key runs,
-//! every other gets its outcome.
+//! A pure state machine. Every agent of a service applies the records of the service's stream in
+//! order and reaches the same result. The intent of a write is appended to the log before the
+//! write is sent to the service. The first intent of a key runs; every other one gets the outcome
+//! of the first.
 //!
-//! Records expire, so a reader may not have seen the intent that was first. It
-//! lets nothing run until it is *complete*: it has read the stream from its start,
-//! or has taken up what another complete reader carried and read_end from there on.
-//! `docs/design/writes.md` has the argument.
+//! Records expire, so a reader may have missed the first intent of a key. It lets no write run
+//! until it is *complete*: it has read the stream from its start, or has loaded a checkpoint that
+//! a complete reader appended and has applied all records since. `docs/design/writes.md` has the
+//! argument.
 //!
-//! The contract (key, fingerprint, receipt, replay, conflict) follows the paper
-//! "Agent tools need idempotency contracts"; what it leaves to a database table
-//! is here a stream of the platform's log.
+//! The contract (key, fingerprint, receipt, replay, conflict) follows the paper "Agent tools need
+//! idempotency contracts". Where the paper uses a database table, this module uses a stream of
+//! the platform's log.
 
 mod entry;
 mod catch_up;
@@ -26,34 +26,34 @@
 use catch_up::{CatchUp, Checkpoint, Pending};
 use wire::id;
 
-/// Shards of the table, so that an insertion moves few records.
+/// Number of shards of the table. Shards keep an insertion into a sorted list cheap.
 const SHARDS: usize = 256;
 
 /// The writes of one service.
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    /// Each sorted by key.
+    /// Records by hash of the key; each shard is sorted by key.
     shards: Vec<Vec<Record>>,
     /// Latest incarnation started on each VM, sorted by VM.
     starts: Vec<(id::Vm, id::Incarnation)>,
     /// Next offset to read.
     pub next: u64,
-    /// What has been read while this reader is not complete.
+    /// Records read while this reader is not complete.
     catch_up: Option<CatchUp>,
-    /// Newest offset before which everything has been carried.
+    /// End of the records that a checkpoint covers.
     checkpointed: u64,
-    /// Offset after the newest record with an intent or a `CheckpointEnd`: somebody could judge.
+    /// Offset after the newest intent or end of a checkpoint. Its author was complete.
     last_active: u64,
-    /// Writes older than this have been forgotten, by the log's clock.
+    /// Writes with an older intent have expired, by the log's clock.
     cutoff_ms: u64,
-    /// The log's clock at the last record.
+    /// Time of the newest record, by the log's clock.
     time_ms: u64,
-    /// Records that did not decode.
+    /// Number of records that did not decode.
     pub undecodable: u64,
 }
 
 impl Ledger {
-    /// Nothing known.
+    /// Returns an empty ledger that reads the stream from its start.
     ///
     /// ```
     /// assert!(agent::ledger::Ledger::new().find("w/k").is_none());
@@ -72,11 +72,12 @@
         }
     }
 
-    /// Notes the oldest kept offset, which every page of the log tells. True when records
-    /// have expired unread: everything known is dropped, as in a reader that starts there.
+    /// Skips to `first_kept`, the oldest offset in the log, as given with every page. Returns
+    /// true if records have expired unread: the ledger is then cleared, as in a reader that
+    /// starts there.
     ///
-    /// A process that was paused for longer than the log keeps records would else take its
-    /// own late intent for the first of its key, though another's was in the gap and has run.
+    /// Otherwise a process that was paused for longer than the log keeps records would treat its
+    /// own late intent as the first of its key, though another intent in the gap has already run.
     ///
     /// ```
     /// let mut ledger = agent::ledger::Ledger::new();
@@ -92,8 +93,8 @@
         gap
     }
 
-    /// True when every remembered write is known here. A reader that is not complete
-    /// lets no write run.
+    /// Returns true if this reader knows every write that has not expired. A reader that is not
+    /// complete lets no write run.
     ///
     /// ```
     /// assert!(agent::ledger::Ledger::new().is_complete());
@@ -102,8 +103,8 @@
         self.catch_up.is_none()
     }
 
-    /// Offset after the newest record that shows that somebody could judge: an intent, or all
-    /// that an agent knew.
+    /// Returns the offset after the newest record that shows that some agent was complete: an
+    /// intent, or the end of a checkpoint.
     ///
     /// ```
     /// assert_eq!(agent::ledger::Ledger::new().last_active(), 0);
@@ -112,12 +113,13 @@
         self.last_active
     }
 
-    /// What a late reader appends when [`Ledger::active`] has not moved for the key window:
-    /// no write is remembered any more, and nobody is there to say so. `None` when this
-    /// reader can judge.
+    /// Returns the entry that an incomplete reader appends when [`Ledger::last_active`] has not
+    /// changed for the key window: no write needs to be remembered any more, and no agent is left
+    /// that could append a checkpoint. `None` if this reader is complete.
     ///
-    /// Were it to take what it has read for complete by its own clock, it could know other
-    /// writes than a reader that had waited longer. So it is a record, and all begin there.
+    /// If a reader declared itself complete by its own clock, it could know other writes than a
+    /// reader that had waited longer. So the reset is a record, and all readers restart at its
+    /// offset.
     ///
     /// ```
     /// let mut ledger = agent::ledger::Ledger::new();
@@ -129,7 +131,7 @@
         (!self.is_complete()).then_some(Reset { read_end: self.next })
     }
 
-    /// Newest offset before which everything has been carried.
+    /// Returns the offset before which a checkpoint covers all records.
     ///
     /// ```
     /// assert_eq!(agent::ledger::Ledger::new().checkpointed(), 0);
@@ -138,7 +140,7 @@
         self.checkpointed
     }
 
-    /// The latest incarnation whose start was read for a VM.
+    /// Returns the latest incarnation of a VM whose start has been read.
     ///
     /// ```
     /// assert_eq!(agent::ledger::Ledger::new().incarnation_of("desk-1"), None);
@@ -148,11 +150,11 @@
         Some(self.starts[i].1)
     }
 
-    /// True when `owner` may append intents and judge them: this reader is complete and
-    /// has read the owner's start, and none after it.
+    /// Returns true if `owner` may append intents and act on them: this reader is complete, and
+    /// the newest start it has read of the owner's VM is that of the owner.
     ///
-    /// Its intents are void for all while the start of its predecessor on the VM is the last
-    /// one: it would take writes and refuse every one of them after a wait.
+    /// While the newest start is that of a predecessor on the VM, all readers ignore the owner's
+    /// intents: it would accept writes and refuse every one of them after a wait.
     ///
     /// ```
     /// assert!(!agent::ledger::Ledger::new().is_ready(&("desk-1".into(), 1)));
@@ -161,7 +163,8 @@
         self.is_complete() && self.incarnation_of(&owner.0) == Some(owner.1)
     }
 
-    /// Whether a try of `owner` runs: `None` while its intent has not been read.
+    /// Returns whether a try of `owner` is the first of its key and may run; `None` while its
+    /// intent has not been read.
     ///
     /// ```
     /// let owner = ("desk-1".to_string(), 1);
@@ -173,8 +176,9 @@
         Some(first && self.is_ready(owner))
     }
 
-    /// True when records should be carried: some have expired that nobody has carried
-    /// (`Some(true)`), or the older half of what the log keeps has not been carried yet.
+    /// Returns whether a checkpoint should be appended: at once (`Some(true)`) if records have
+    /// expired that no checkpoint covers, or soon (`Some(false)`) if none covers the older half
+    /// of the log.
     ///
     /// ```
     /// assert_eq!(agent::ledger::Ledger::new().checkpoint_due(0, 100), None);
@@ -188,12 +192,13 @@
         }
     }
 
-    /// All that is known, to be appended again: the writes, and after all of them stand in
-    /// the log, the `CheckpointEnd`. `None` while this reader is not complete and might miss some.
+    /// Returns a checkpoint: the known writes, and the end record, which is to be appended once
+    /// all the writes are in the log. `None` if this reader is not complete and may have missed
+    /// some.
     ///
     /// ```
-    /// let (carried, kept) = agent::ledger::Ledger::new().checkpoint(1_000).unwrap();
-    /// assert!(carried.is_empty() && end.read_end == 0);
+    /// let (records, end) = agent::ledger::Ledger::new().checkpoint(1_000).unwrap();
+    /// assert!(records.is_empty() && end.read_end == 0);
     /// ```
     pub fn checkpoint(&self, window_ms: u64) -> Option<(Vec<CheckpointRecord>, CheckpointEnd)> {
         if !self.is_complete() {
@@ -207,7 +212,7 @@
         Some((records, CheckpointEnd { read_end, count, starts, cutoff_ms }))
     }
 
-    /// What is known of a key.
+    /// Returns the record of a key.
     ///
     /// ```
     /// assert!(agent::ledger::Ledger::new().find("w/k").is_none());
@@ -218,7 +223,8 @@
         Some(&shard[i])
     }
 
-    /// Applies the log's record at `offset`. One that does not decode is skipped and counted.
+    /// Applies the log's record at `offset`. A record that does not decode is counted and
+    /// skipped.
     ///
     /// ```
     /// let mut ledger = agent::ledger::Ledger::new();
@@ -257,7 +263,7 @@
         }
     }
 
-    /// Writes known.
+    /// Returns the number of known writes.
     ///
     /// ```
     /// assert_eq!(agent::ledger::Ledger::new().len(), 0);
@@ -266,7 +272,7 @@
         self.shards.iter().map(Vec::len).sum()
     }
 
-    /// True when no write is known.
+    /// Returns true if no write is known.
     ///
     /// ```
     /// assert!(agent::ledger::Ledger::new().is_empty());
@@ -275,9 +281,10 @@
         self.len() == 0
     }
 
-    /// True for a record after which all know nothing. A process that thaws and can judge may
-    /// have appended an intent that the author had not read; then it does not count. Whoever
-    /// has read all since the author looked comes to the same verdict, others stay late.
+    /// Returns true if the batch resets the ledger of every reader. A process that resumes and is
+    /// complete may have appended an intent that the author of the reset had not read; then the
+    /// reset does not count. Every reader that has read all records since the author's offset
+    /// decides alike; others remain incomplete.
     fn is_reset(&self, batch: &Batch) -> bool {
         let read =
             |reset: &Reset| self.catch_up.as_ref().is_none_or(|c| c.has_read_from(reset.read_end));
@@ -292,7 +299,7 @@
         }
     }
 
-    /// Takes up what the author of carried writes knew, and judges from there on.
+    /// Loads a checkpoint and applies the records after it.
     fn restore(&mut self, checkpoint: Checkpoint) {
         self.catch_up = None;
         self.starts = checkpoint.end.starts;
@@ -311,14 +318,14 @@
                 time_ms,
                 state: State::Open,
             }),
-            // An old process that thaws after its VM was started again: the new
-            // one has declared the old one's writes closed, so the old one's
-            // intent may not win. It sees that itself and does not run it.
+            // An old process that resumes after its VM was restarted: the new one has marked the
+            // old one's writes as unknown, so the old one's intent must not win. The old process
+            // reads this as well and does not run it.
             Entry::Intent(_) => {}
-            Entry::Void(mark) => self.void(&mark, owner),
-            Entry::Lost(mark) => self.settle(&mark.key, &mark.id, State::Unknown),
+            Entry::Void(try_ref) => self.void(&try_ref, owner),
+            Entry::Lost(try_ref) => self.settle(&try_ref.key, &try_ref.id, State::Unknown),
             Entry::Receipt(r) => self.settle(&r.key, &r.id, State::Settled(r.answer)),
-            // Only late readers need it: what it says is known here.
+            // Only incomplete readers need these; a complete one already knows their content.
             Entry::CheckpointRecord(_) | Entry::Reset(_) => {}
             Entry::CheckpointEnd(end) => self.expire(&end),
         }
@@ -337,8 +344,8 @@
         }
     }
 
-    /// True when another incarnation has started on the VM since. A VM whose start was
-    /// never read counts as current; nobody makes intents before its own start.
+    /// Returns true if another incarnation has started on the VM since. A VM without a recorded
+    /// start counts as current: no agent appends intents before its own start.
     fn is_outdated(&self, owner: &(id::Vm, id::Incarnation)) -> bool {
         match self.starts.binary_search_by(|s| s.0.cmp(&owner.0)) {
             Ok(i) => self.starts[i].1 != owner.1,
@@ -346,7 +353,7 @@
         }
     }
 
-    /// Adds a record unless the key has one: the first in the log's order counts.
+    /// Adds a record unless the key has one: the first in the order of the log counts.
     fn add(&mut self, record: Record) {
         let shard = &mut self.shards[shard(&record.key)];
         if let Err(i) = shard.binary_search_by(|r| r.key.cmp(&record.key)) {
@@ -354,11 +361,11 @@
         }
     }
 
-    /// Only the owner of the try can void it: only it knows that it did not run it.
-    fn void(&mut self, mark: &TryRef, owner: &(id::Vm, id::Incarnation)) {
-        let shard = &mut self.shards[shard(&mark.key)];
-        if let Ok(i) = shard.binary_search_by(|r| r.key.cmp(&mark.key)) {
-            let own = shard[i].id == mark.id && shard[i].owner == *owner;
+    /// Removes a try. Only its owner can void it: only the owner knows that it did not run.
+    fn void(&mut self, try_ref: &TryRef, owner: &(id::Vm, id::Incarnation)) {
+        let shard = &mut self.shards[shard(&try_ref.key)];
+        if let Ok(i) = shard.binary_search_by(|r| r.key.cmp(&try_ref.key)) {
+            let own = shard[i].id == try_ref.id && shard[i].owner == *owner;
             if own && !matches!(shard[i].state, State::Settled(_)) {
                 shard.remove(i);
             }
@@ -369,16 +376,17 @@
         let shard = &mut self.shards[shard(key)];
         if let Ok(i) = shard.binary_search_by(|r| r.key.as_str().cmp(key)) {
             let record = &mut shard[i];
-            // An answer is never taken back by a later word that it was lost.
+            // A later entry that the answer was lost never replaces an answer.
             if record.id == id && !matches!(record.state, State::Settled(_)) {
                 record.state = state;
             }
         }
     }
 
-    /// Forgetting is a record too, so that all forget at the same place of the stream. By
-    /// its own clock one agent would let a key run again that others still hold for used;
-    /// when they forget it later, they have not noted the second run and allow a third.
+    /// Removes expired writes. This happens at a record, so that all readers do it at the same
+    /// offset. By its own clock, one agent would let a key run again that others still treat as
+    /// used; when they expired it later, they would not have recorded the second run and would
+    /// allow a third.
     fn expire(&mut self, end: &CheckpointEnd) {
         self.checkpointed = self.checkpointed.max(end.read_end);
         self.cutoff_ms = self.cutoff_ms.max(end.cutoff_ms);
--- a/crates/agent/src/ledger/catch_up.rs
+++ b/crates/agent/src/ledger/catch_up.rs
@@ -1,14 +1,15 @@
-//! A reader that began after the first records had expired.
+//! Catching up of a reader that started after the first records had expired.
 //!
-//! It can't judge what it reads: an intent may look like the first of its key only because
-//! the first one has gone. It keeps the records, and what others carry, until one author has
-//! carried all it knew at an offset from which on this reader has everything.
+//! Such a reader can't decide on what it reads: an intent may look like the first of its key only
+//! because the first one has expired. It keeps the records and the checkpoints of others until
+//! one author has completed a checkpoint at an offset from which on this reader has read
+//! everything.
 
 use wire::id;
 
 use super::{Batch, CheckpointEnd, CheckpointRecord, Entry, Record};
 
-/// What one author knew at one offset, as far as it has been read.
+/// A checkpoint of one author at one offset, as far as it has been read.
 #[derive(Debug, Clone)]
 struct PartialCheckpoint {
     owner: (id::Vm, id::Incarnation),
@@ -17,7 +18,7 @@
     records: Vec<Record>,
 }
 
-/// A record of the log that waits to be read_end.
+/// A record of the log that has not been applied yet.
 #[derive(Debug, Clone)]
 pub(super) struct Pending {
     pub(super) offset: u64,
@@ -25,7 +26,7 @@
     pub(super) batch: Batch,
 }
 
-/// What a late reader has read so far.
+/// What an incomplete reader has read so far.
 #[derive(Debug, Clone)]
 pub(super) struct CatchUp {
     first: u64,
@@ -33,7 +34,7 @@
     partial: Vec<PartialCheckpoint>,
 }
 
-/// What was known before an offset, and the records from there on.
+/// The writes known before an offset, and the records to apply from there on.
 #[derive(Debug)]
 pub(super) struct Checkpoint {
     pub(super) records: Vec<Record>,
@@ -46,13 +47,13 @@
         CatchUp { first, pending: vec![], partial: vec![] }
     }
 
-    /// Keeps a record; the base as soon as one is known.
+    /// Keeps a record. Returns a checkpoint as soon as one is complete.
     pub(super) fn add(&mut self, record: Pending) -> Option<Checkpoint> {
         let owner = (record.batch.vm.clone(), record.batch.incarnation);
         let mut found = None;
         for entry in &record.batch.entries {
             match entry {
-                // Its author had not read all that this reader has missed.
+                // The author had not read all records that this reader has missed.
                 Entry::CheckpointRecord(CheckpointRecord { read_end, .. })
                     if *read_end < self.first => {}
                 Entry::CheckpointRecord(new) => self.add_record(&owner, new),
@@ -69,7 +70,7 @@
         Some(Checkpoint { records, end, pending: pending.filter(|w| w.offset >= from).collect() })
     }
 
-    /// True when everything from an offset on has been read.
+    /// Returns true if every record from `offset` on has been read.
     pub(super) fn has_read_from(&self, offset: u64) -> bool {
         self.first <= offset
     }
@@ -82,7 +83,7 @@
             self.partial.len() - 1
         });
         let records = &mut self.partial[at].records;
-        // A carried record whose append was repeated after a lost answer comes twice.
+        // A record whose append was retried after a lost answer is in the log twice.
         if let Err(i) = records.binary_search_by(|r| r.key.cmp(&new.record.key)) {
             records.insert(i, new.record.clone());
         }
--- a/crates/agent/src/ledger/entry.rs
+++ b/crates/agent/src/ledger/entry.rs
@@ -1,4 +1,4 @@
-//! What stands in the stream of a service, encoded as JSON.
+//! Entries of the stream of a service, encoded as JSON.
 
 use serde::{Deserialize, Serialize};
 use wire::frame::Reply;
@@ -6,24 +6,24 @@
 
 use super::Record;
 
-/// Longest body of an answer that is kept, in bytes. Every agent holds all kept
-/// answers of the key window in memory, and a record of the log is limited.
+/// Longest body of an answer that is kept. Every agent holds the answers of the key window in
+/// memory, and the size of a log record is limited.
 pub const MAX_KEPT_BODY_BYTES: usize = 64 << 10;
 
-/// Header lines of an answer that are kept, in bytes.
+/// Largest total size of the header lines of an answer that is kept.
 const MAX_KEPT_HEADER_BYTES: usize = 16 << 10;
 
-/// Id of one try to write, unique in the fleet.
+/// Id of one try to run a write, unique in the fleet.
 pub type TryId = String;
 
-/// One record of the stream: what an agent appended together.
+/// A record of the stream: the entries that an agent appended together.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Batch {
     /// The agent's VM.
     pub vm: id::Vm,
     /// Its incarnation.
     pub incarnation: id::Incarnation,
-    /// What it says, in order.
+    /// The entries in order.
     pub entries: Vec<Entry>,
 }
 
@@ -31,29 +31,29 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Entry {
-    /// The agent has started. Writes that earlier incarnations on its VM left
-    /// open have an unknown outcome from here on, and their later intents are void.
+    /// The agent has started. Open writes of earlier incarnations on its VM have an unknown
+    /// outcome from here on, and later intents of these incarnations are ignored.
     Start,
-    /// The agent wants to run a write.
+    /// The agent is about to run a write.
     Intent(Intent),
-    /// The agent has not run the write of its own intent and never will.
+    /// The agent has not run the write of its own intent and will not run it.
     Void(TryRef),
-    /// The agent sent the write and got no answer.
+    /// The agent sent the write to the service and got no answer.
     Lost(TryRef),
     /// The service answered.
     Receipt(Receipt),
-    /// A write, appended again since its records will expire.
+    /// A write of a checkpoint, appended again because its records will expire.
     #[serde(rename = "carry")]
     CheckpointRecord(CheckpointRecord),
-    /// All writes that the agent knew have been carried.
+    /// The end of a checkpoint: all writes known to the agent have been appended.
     #[serde(rename = "kept")]
     CheckpointEnd(CheckpointEnd),
-    /// Nobody has been able to judge for the key window: all forget, and begin anew here.
+    /// No agent has been complete for the key window: all readers clear their ledgers here.
     #[serde(rename = "anew")]
     Reset(Reset),
 }
 
-/// Wants to run a write.
+/// Announces a write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Intent {
     /// Workspace and key.
@@ -65,7 +65,7 @@
     pub id: TryId,
 }
 
-/// Names a try.
+/// Identifies a try.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TryRef {
     /// Workspace and key.
@@ -74,7 +74,7 @@
     pub id: TryId,
 }
 
-/// What the service answered to a try.
+/// The answer of the service to a try.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Receipt {
     /// Workspace and key.
@@ -85,40 +85,41 @@
     pub answer: Answer,
 }
 
-/// A write as its author knew it, one part of what it appends again together.
+/// A write of a checkpoint, as its author knew it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointRecord {
-    /// The author had read all records before this offset, and none after it.
+    /// End of what the author had read: all records before this offset, and none after it.
     #[serde(rename = "judged")]
     pub read_end: u64,
-    /// What it knew.
+    /// The author's record of the write.
     pub record: Record,
 }
 
-/// Ends what an author appends again: with it and the carried writes a late reader knows
-/// what the author knew.
+/// Ends a checkpoint. With it and the records of the checkpoint an incomplete reader knows what
+/// the author knew.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CheckpointEnd {
-    /// As in the carried writes.
+    /// The same as in the records of the checkpoint.
     #[serde(rename = "judged")]
     pub read_end: u64,
-    /// Number of carried writes.
+    /// Number of records of the checkpoint.
     pub count: usize,
     /// Latest incarnation started on each VM, sorted by VM.
     pub starts: Vec<(id::Vm, id::Incarnation)>,
-    /// Writes whose intent is older are forgotten from here on, by the log's clock.
+    /// Writes with an older intent expire here, by the log's clock.
     pub cutoff_ms: u64,
 }
 
-/// Begins anew. It counts only where no intent and no `CheckpointEnd` stands between.
+/// Clears the ledger. It counts only if no intent and no `CheckpointEnd` follows the records that
+/// its author had read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reset {
-    /// Its author had read all records before this offset.
+    /// The author had read all records before this offset.
     #[serde(rename = "judged")]
     pub read_end: u64,
 }
 
-/// An answer as it is kept for repeats.
+/// An answer as it is kept for retries.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
@@ -129,20 +130,20 @@
     pub body: Body,
 }
 
-/// A body in as few bytes of JSON as its kind allows.
+/// A body, encoded so that its JSON is short.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// UTF-8, as it is.
+    /// UTF-8 text.
     Text(String),
     /// Other bytes, two hexadecimal digits each.
     Hex(String),
-    /// Not kept; so many bytes.
+    /// Too long to be kept; its length in bytes.
     Long(u64),
 }
 
 impl Answer {
-    /// What is kept of a reply.
+    /// Returns what is kept of a reply.
     ///
     /// ```
     /// use agent::ledger::{Answer, Body};
@@ -164,7 +165,7 @@
         Answer { status: reply.status, headers, body }
     }
 
-    /// The reply to a repeat; `None` when the answer was too long to be kept.
+    /// Returns the reply to a retry, or `None` if the answer was too long to be kept.
     ///
     /// ```
     /// use agent::ledger::{Answer, Body};
--- a/crates/agent/src/ledger/record.rs
+++ b/crates/agent/src/ledger/record.rs
@@ -1,11 +1,11 @@
-//! What a ledger holds of one key.
+//! The record of one key in a ledger.
 
 use serde::{Deserialize, Serialize};
 use wire::id;
 
 use super::{Answer, TryId};
 
-/// What is known of a key.
+/// What is known of the write with a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// Workspace and key.
@@ -13,24 +13,24 @@
     /// Hash of the content.
     #[serde(rename = "print")]
     pub content_hash: String,
-    /// The try that was first.
+    /// The first try in the log.
     pub id: TryId,
-    /// Who made it.
+    /// VM and incarnation of the agent that made the try.
     pub owner: (id::Vm, id::Incarnation),
-    /// When its intent was appended, by the log's clock, in milliseconds.
+    /// When the intent was appended, by the log's clock, in milliseconds.
     pub time_ms: u64,
-    /// What became of it.
+    /// State of the write.
     pub state: State,
 }
 
-/// What became of a write.
+/// State of a write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// Its owner may run it now.
+    /// Its owner may be running it now.
     Open,
-    /// It has this answer.
+    /// The service gave this answer.
     Settled(Answer),
-    /// It may have run; nobody runs it again.
+    /// It may have run, and is not run again.
     Unknown,
 }
--- a/crates/agent/src/order.rs
+++ b/crates/agent/src/order.rs
@@ -1,10 +1,9 @@
-//! Loading a range of layers of which every replica is lost.
+//! Loads a range of layers that has lost all its replicas.
 //!
-//! Nobody decides for others: an agent whose engine can be spared sees the gap,
-//! claims it in the log, and orders its own engine when its claim is the first.
-//! An agent is the only process that gives its engine orders, and its bound port
-//! admits one agent on a VM; so an engine that ignores fencing numbers never gets
-//! orders from two processes, and one that checks them refuses a late one.
+//! Each agent decides for itself: one whose engine can be spared finds the gap, claims it in the
+//! log, and orders its own engine if its claim is the first. Only an agent sends orders to its
+//! engine, and the port it binds admits one agent on a VM. So an engine that ignores fencing
+//! numbers never gets orders from two processes, and one that checks them refuses a late order.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,27 +19,27 @@
 
 use crate::Agent;
 
-/// Pause between two looks for gaps of a spare engine, or once a gap is seen;
-/// each draws up to twice this.
+/// Shortest interval of checks for gaps, for a spare engine or once a gap is found. Each interval
+/// is drawn from one to two times this.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The same of an engine that holds a range, while all is well. There are
-/// hundreds of them, and each look asks two routers.
+/// The same for an engine that holds a range, while there is no gap. There are hundreds of such
+/// engines, and each check queries two routers.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Looks in a row in which a range has no replica before an engine that holds
-/// nothing is ordered, and before one that holds another range is. The first is
-/// longer than a restart of a stage takes; the second lets the first go ahead.
+/// Consecutive checks without a replica of a range before an engine that holds nothing is ordered
+/// to load it, and before one that holds another range is. The first takes longer than a restart
+/// of a stage; the second gives spare engines precedence.
 const SPARE_CHECKS: u32 = 3;
 const DONOR_CHECKS: u32 = 8;
 
-/// Replicas a range has to have for one of them to be spared.
+/// Replicas that a range must have for one of them to be spared.
 const DONOR_REPLICAS: usize = 3;
 
-/// Time a router has to answer.
+/// Time-out of a query to a router.
 const GAPS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Looks for gaps for as long as the agent runs.
+/// Checks for gaps for as long as the agent runs.
 pub async fn run(agent: Arc<Agent>) {
     let log = Client::new(&agent.node.process.platform.log, Duration::from_secs(2));
     let (mut gap, mut seen) = (None, 0);
@@ -63,8 +62,8 @@
     }
 }
 
-/// Looks that are needed before this engine is ordered, and the first range without a
-/// replica; `None` when the engine can't be spared.
+/// Returns the checks needed before this engine is ordered, and the first range without a
+/// replica; `None` if the engine can't be spared.
 async fn find_gap(agent: &Agent) -> Option<(u32, Option<Stage>)> {
     let table = agent
         .stage
@@ -81,11 +80,11 @@
     Some((required, gaps.lost.into_iter().next()))
 }
 
-/// Ranges without a replica by the view of two routers; `None` when they can't tell.
-/// One router alone may have been cut off, so a range is lost only when both say so.
+/// Returns the ranges without a replica according to two routers, or `None` if neither answers. A
+/// router may have been cut off, so a range is lost only when both report it.
 ///
-/// One question covers all ranges: asked range by range, the answers of a fleet with
-/// many agents and models would be most of its control traffic.
+/// One query covers all ranges. With one query per range, the answers would be most of the
+/// control traffic of a fleet with many agents and models.
 async fn gaps(node: &Node, own: Option<Stage>) -> Option<Gaps> {
     let list = node.vms.borrow().clone();
     let routers: Vec<_> = list.iter().filter(|e| e.role == Role::Router).collect();
@@ -105,14 +104,14 @@
     found
 }
 
-/// Claims the gap and, when the claim counts, orders the engine.
+/// Claims the gap and, if the claim counts, orders the engine to load it.
 async fn claim_and_load(agent: &Agent, log: &Client, stage: Stage) -> Result<(), String> {
     let vm = agent.node.process.vm.clone();
     let table = agent.stage.as_ref().ok_or("no engine stands here")?;
     let id = uuid::Uuid::new_v4().to_string();
     let claim = Claim { id: id.clone(), vm, stage: stage.clone(), from: table.loaded() };
     let data = serde_json::to_string(&claim).map_err(|e| e.to_string())?;
-    // A lost answer is settled by reading: the record stands or it does not.
+    // After a lost answer, reading the log shows whether the claim is in it.
     let appended = log.append(STREAM, &data).await;
     let claims = filter_valid(read_claims(log).await?);
     let Some(own) = claims.iter().find(|c| c.claim.id == id) else {
--- a/crates/agent/src/sequencer.rs
+++ b/crates/agent/src/sequencer.rs
@@ -1,7 +1,7 @@
-//! Which step of a session may run now, without network or engine.
+//! Decides which step of a session may run, as a state machine without network or engine.
 //!
-//! A session runs each position once and in order. The step that ran last may be
-//! asked for again and gets the kept output; anything else is refused.
+//! A session runs each position once and in order. A retry of the last step gets the kept output;
+//! any other step out of order is refused.
 
 use wire::frame::{Output, Step};
 
@@ -11,7 +11,7 @@
 /// What to do with a step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
-    /// It ran already: answer with this.
+    /// It has run already: answer with this output.
     Replay(Output),
     /// Run it now.
     Run,
@@ -20,13 +20,13 @@
 /// Why a step may not run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Refused {
-    /// Kind of reason.
+    /// Category of the reason.
     pub cause: Cause,
-    /// A sentence.
+    /// The reason, as a sentence.
     pub why: String,
 }
 
-/// How far a session has come.
+/// Position and last step of a session.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sequencer {
     next: id::Position,
@@ -35,7 +35,7 @@
 }
 
 impl Sequencer {
-    /// What to do with `step` of this attempt, when `newest` is the highest one seen.
+    /// Returns what to do with a `step` of `attempt` when `newest` is the highest attempt seen.
     ///
     /// ```
     /// use agent::sequencer::{Decision, Sequencer};
@@ -54,8 +54,8 @@
     ) -> Result<Decision, Refused> {
         let refused = |cause, why: String| Err(Refused { cause, why });
         match &self.last {
-            // A thawed head that asks on would be given output that the newer
-            // attempt may contradict; it has to learn that it is replaced.
+            // A head that was frozen and resumes would get output that the newer attempt may
+            // contradict. The refusal tells it that it has been replaced.
             _ if newest > attempt => {
                 refused(Cause::Fenced, "a newer attempt of the request runs".into())
             }
@@ -64,8 +64,8 @@
                 Cause::Bad,
                 format!("position {}, the next is {}", step.position, self.next),
             ),
-            // After a lost answer the engine may have run the positions or not:
-            // running them again could run a layer twice for a token.
+            // After a lost answer the engine may have run the positions or not. Running them
+            // again could run a layer twice for a token.
             _ if self.broken => {
                 refused(Cause::Lost, "an earlier step of the session was lost".into())
             }
@@ -73,12 +73,14 @@
         }
     }
 
-    /// The step goes to the engine. Until its output is here the session counts as broken.
+    /// Records that a step is sent to the engine. The session counts as broken until its output
+    /// arrives.
     pub fn begin(&mut self) {
         self.broken = true;
     }
 
-    /// The engine's output of the step; an error when it is not that step's.
+    /// Records the engine's output of a step. Returns an error if the output is not that of the
+    /// step.
     pub fn done(&mut self, step: Step, output: Output) -> Result<(), Refused> {
         if output.outputs.len() != step.inputs.len() || output.position != step.position {
             let why = format!("{} outputs for {} inputs", output.outputs.len(), step.inputs.len());
--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -1,4 +1,4 @@
-//! Where a range of a draft runs: a session here or at another agent.
+//! The session that runs a range of a draft, at this agent or at another one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,30 +15,30 @@
 
 use crate::{Agent, stage};
 
-/// Time to open a session at a stage. Longer than a new connection takes over a
-/// slow link, and short against a caller's deadline.
+/// Time-out of opening a session at a stage. Longer than a new connection takes over a slow link,
+/// and short compared with a caller's deadline.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Time after which the next replica is asked as well. A frozen or cut-off one
-/// costs this and not the time of a whole connection attempt.
+/// Delay after which the next replica is tried as well. A replica that is frozen or cut off costs
+/// this time, not that of a whole connection attempt.
 const HEDGE_DELAY: Duration = Duration::from_millis(100);
 
-/// Time a router has to name replicas.
+/// Time-out of a router's list of replicas.
 const REPLICAS_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Where a range runs now.
+/// The session that runs a range.
 #[derive(Debug)]
 pub enum Session {
-    /// Nowhere yet, or it was lost.
+    /// Not opened yet, or lost.
     Closed,
     /// At the engine beside this agent.
     Local(Box<stage::Session>),
-    /// At another agent, whose loss is noticed while the draft runs.
+    /// At another agent, which is monitored while the draft runs.
     Remote(Stream, Wait),
 }
 
 impl Session {
-    /// Runs one step there.
+    /// Runs one step.
     pub async fn step(&mut self, step: Step) -> Result<Output, Refusal> {
         match self {
             Session::Closed => Err(lost("step", "", "the range runs nowhere")),
@@ -48,9 +48,9 @@
     }
 }
 
-/// Opens a session at the first of the places that answers. The next place is
-/// asked when one refuses or does not answer within `HEDGE_DELAY`; what is opened
-/// late is closed unused.
+/// Opens a session at the first of `places` that answers. The next place is tried when one
+/// refuses or does not answer within `HEDGE_DELAY`. A session that is opened later is closed
+/// unused.
 pub async fn open_any(
     agent: &Arc<Agent>,
     places: &[Place],
@@ -119,9 +119,9 @@
     }
 }
 
-/// Replicas of a range as a router sees them now; none when no router answers.
-/// The list a draft came with is as old as the draft: replicas that joined
-/// since, or were ordered to load the range, are not in it.
+/// Returns the replicas of a range that a router knows now; none if no router answers. The list
+/// in a draft is as old as the draft and lacks replicas that joined or were ordered to load the
+/// range since.
 pub async fn query_replicas(agent: &Arc<Agent>, stage: &Stage) -> Vec<Place> {
     let list = agent.node.vms.borrow().clone();
     let routers: Vec<_> = list.iter().filter(|e| e.role == Role::Router).collect();
@@ -139,7 +139,7 @@
     Refusal::not_run(Cause::Unavailable, "open", &agent.node.process.vm, why)
 }
 
-/// A step of which it is not known whether it ran.
+/// Returns the refusal for a step that may or may not have run.
 pub fn lost(step: &str, peer: &str, why: &str) -> Refusal {
     Refusal::unknown(Cause::Lost, step, peer, why)
 }
--- a/crates/agent/src/slot.rs
+++ b/crates/agent/src/slot.rs
@@ -1,8 +1,8 @@
-//! The agent's slots: a fixed number of requests it lets in at once.
+//! The agent's slots: the number of requests that it admits at once.
 //!
-//! The agent alone knows what runs beside it, so it refuses at once when all
-//! slots are taken; the routers' view is only a hint. How many are kept for sessions
-//! that replace a lost stage is decided by [`policy::limit`].
+//! Only the agent knows what runs at its backend server, so it refuses at once when all slots are
+//! taken; the routers' view is only a hint. [`policy::limit`] decides how many slots are reserved
+//! for sessions that replace a lost stage.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -10,7 +10,7 @@
 
 use policy::limit::{self, Admit, Kind, Objective};
 
-/// Weight of a new reading in the smoothed step time, as one part in this many.
+/// A new measurement changes the smoothed step time by one part in this many.
 const SMOOTHING_DIVISOR: u64 = 8;
 
 #[derive(Debug)]
@@ -32,14 +32,14 @@
     inner: Arc<Inner>,
 }
 
-/// A slot that is taken until this is dropped.
+/// A slot, taken until this is dropped.
 #[derive(Debug)]
 pub struct Slot {
     inner: Arc<Inner>,
 }
 
 impl Slots {
-    /// `total` free slots.
+    /// Returns `total` free slots.
     ///
     /// ```
     /// let slots = agent::slot::Slots::new(1);
@@ -53,12 +53,13 @@
         Slots { inner: Arc::new(Inner { total, limit, step_us: AtomicU64::new(0) }) }
     }
 
-    /// Takes a slot for new work; `None` when all that new work may have are taken.
+    /// Takes a slot for a new request, or returns `None` if all slots open to new requests are
+    /// taken.
     pub fn take(&self) -> Option<Slot> {
         self.take_for(Kind::New)
     }
 
-    /// Takes a slot; a session that replaces a lost stage may also have the reserve.
+    /// Takes a slot; a session that replaces a lost stage may also take a reserved one.
     ///
     /// ```
     /// use policy::limit::{Kind, Objective};
@@ -75,32 +76,32 @@
         }
     }
 
-    /// Takes over what the fleet favours; what runs goes on.
+    /// Applies the fleet's objective. Taken slots stay taken.
     pub fn set_objective(&self, objective: Objective) {
         self.inner.limit().set(self.inner.total, objective);
     }
 
-    /// How many there are.
+    /// Returns the number of slots.
     pub fn total(&self) -> u32 {
         self.inner.total
     }
 
-    /// How many new work may take at once: what routers may count on.
+    /// Returns the number of slots open to new requests, on which routers may count.
     pub fn open(&self) -> u32 {
         self.inner.limit().open()
     }
 
-    /// How many are taken.
+    /// Returns the number of taken slots.
     pub fn busy(&self) -> u32 {
         self.inner.limit().busy()
     }
 
-    /// Smoothed time of a step or call in microseconds; 0 before the first.
+    /// Returns the smoothed time of a step or call in microseconds; 0 before the first.
     pub fn step_us(&self) -> u64 {
         self.inner.step_us.load(Ordering::Relaxed)
     }
 
-    /// Adds a reading to the smoothed time.
+    /// Adds a measurement to the smoothed time.
     pub fn record_time(&self, time: Duration) {
         let new = time.as_micros() as u64;
         let smooth = |old: u64| match old {
--- a/crates/agent/src/stage.rs
+++ b/crates/agent/src/stage.rs
@@ -1,4 +1,4 @@
-//! Sessions at the engine beside this agent: slots, order of positions, fencing.
+//! Sessions at the engine beside this agent: slots, order of positions and fencing.
 
 use std::sync::{Arc, Mutex, RwLock};
 use std::time::{Duration, Instant};
@@ -18,24 +18,25 @@
 use crate::sequencer::{Decision, Sequencer};
 use crate::slot::{Slot, Slots};
 
-/// Longest wait for an answer of the engine. The head gives a silent stage up
-/// long before; this only frees what would otherwise wait for ever.
+/// Time-out of an answer of the engine. The head replaces a silent stage long before; this only
+/// ends calls that would otherwise wait forever.
 const ENGINE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause between looks at the engine's info: a crash is noticed within this.
+/// Interval at which the engine's info is read. A crash is noticed within this time.
 const INFO_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Looks at an engine whose answer was lost before it is held to have lived on.
+/// Reads of the engine's info after a lost answer. If none shows that the process has ended, the
+/// engine is assumed to be alive.
 const CRASH_CHECKS: u32 = 3;
 
-/// Longest such look, and the pause after one that told nothing.
+/// Time-out of such a read, and the pause after one without a result.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(200);
 const CRASH_CHECK_PAUSE: Duration = Duration::from_millis(10);
 
-/// Time after which a caller may come back to a full agent.
+/// Retry-after time given when all slots are taken.
 const BUSY_RETRY: Duration = Duration::from_millis(200);
 
-/// The sessions at the engine.
+/// The engine and its sessions.
 #[derive(Debug)]
 pub struct Table {
     node: Arc<Node>,
@@ -45,11 +46,11 @@
     info: RwLock<Option<engine::Info>>,
     fence: Mutex<Fence>,
     crash: crash::Monitor,
-    /// Range that was ordered, until it is loaded or the time has passed.
+    /// The ordered range, until it is loaded or the time has passed.
     pending_order: Mutex<Option<(Stage, Instant)>>,
 }
 
-/// An open session. Dropping it cancels it at the engine.
+/// An open session, which is cancelled at the engine when it is dropped.
 #[derive(Debug)]
 pub struct Session {
     table: Arc<Table>,
@@ -57,7 +58,7 @@
     fence_key: String,
     running: Running,
     fingerprint: id::Fingerprint,
-    /// Incarnation of the engine that holds it.
+    /// Incarnation of the engine process that holds the session.
     incarnation: String,
     suspect: bool,
     attempt: id::Attempt,
@@ -65,8 +66,8 @@
     _slot: Slot,
 }
 
-/// Starts watching the engine. What an earlier agent left running is cancelled
-/// first: nobody waits for it any more, and it would hold the engine's slots.
+/// Starts monitoring the engine. Sessions of an earlier agent are cancelled first: nobody waits
+/// for them any more, and they would occupy the engine's slots.
 pub async fn start(node: &Arc<Node>, address: &str, slots: Slots) -> Arc<Table> {
     let table = Arc::new(Table {
         node: node.clone(),
@@ -79,7 +80,7 @@
         pending_order: Mutex::default(),
     });
     if let Err(e) = table.engine.cancel_all().await {
-        log::warn!("stage: what was left at the engine can't be cancelled: {e}");
+        log::warn!("stage: can't cancel the sessions of an earlier agent at the engine: {e}");
     }
     tokio::spawn(follow_objective(node.clone(), table.slots.clone()));
     let watched = table.clone();
@@ -87,7 +88,8 @@
     table
 }
 
-/// Keeps the reserve for replacements as the settings in force want it.
+/// Applies the objective of the settings in force, which sets the slots reserved for
+/// replacements.
 async fn follow_objective(node: Arc<Node>, slots: Slots) {
     let mut settings = node.settings.clone();
     loop {
@@ -103,30 +105,30 @@
 }
 
 impl Table {
-    /// The range of layers the engine holds, when it can be used.
+    /// Returns the range of layers that the engine holds, if it can be used.
     pub fn loaded(&self) -> Option<Stage> {
         let info = self.info.read().expect("no panic while held");
         let held = info.as_ref().and_then(range)?;
         let ordered = self.pending_order.lock().expect("no panic while held");
-        // What it held until the order is gone: nothing is to be sent there for it.
+        // Its previous range is already being unloaded, so nothing must be sent there for it.
         match &*ordered {
             Some((stage, until)) if *until > Instant::now() && *stage != held => None,
             _ => Some(held),
         }
     }
 
-    /// True when the engine answers.
+    /// Returns true if the engine answers.
     pub fn is_up(&self) -> bool {
         self.info.read().expect("no panic while held").is_some()
     }
 
-    /// True when the engine answers and holds nothing.
+    /// Returns true if the engine answers and holds nothing.
     pub fn is_spare(&self) -> bool {
         let info = self.info.read().expect("no panic while held");
         info.as_ref().is_some_and(|i| range(i).is_none())
     }
 
-    /// True while an order is being carried out.
+    /// Returns true while the engine loads an ordered range.
     pub fn is_order_pending(&self) -> bool {
         let ordered = self.pending_order.lock().expect("no panic while held");
         let held = self.info.read().expect("no panic while held").as_ref().and_then(range);
@@ -151,7 +153,7 @@
         done
     }
 
-    /// Token ids of a text, by the engine.
+    /// Returns the engine's token ids of a text.
     pub async fn tokenize(&self, text: &str) -> Result<Vec<u64>, Refusal> {
         match self.engine.tokenize(text).await {
             Ok(tokens) => Ok(tokens.tokens),
@@ -159,12 +161,12 @@
         }
     }
 
-    /// Opens a session or refuses at once. Nothing has run after a refusal.
+    /// Opens a session, or refuses at once. After a refusal nothing has run.
     pub async fn open(self: &Arc<Table>, open: &Open) -> Result<Session, Refusal> {
         if let Verdict::Refused { left } = self.node.quarantine.verdict(open.fingerprint) {
             return Err(crash::refusal(&self.vm, "open", left));
         }
-        // Any later attempt goes on with a draft that has lost a stage or its head.
+        // Any higher attempt continues a draft that has lost a stage or its head.
         let kind = if open.attempt == 0 { Kind::New } else { Kind::Recovery };
         let slot = match self.loaded() {
             Some(held) if held == open.stage => self.slots.take_for(kind),
@@ -178,8 +180,8 @@
             let why = format!("all {} slots are taken", self.slots.total());
             return Err(self.refuse(Cause::Busy, "open", why).after(BUSY_RETRY));
         };
-        // An engine that was ordered to load another range may run two ranges of
-        // one request in turn; each has attempts of its own.
+        // An engine that was ordered to load another range may run two ranges of one request in
+        // succession. Each range has its own attempts.
         let fence_key = format!("{}.{}", stable_id(&open.request), open.stage.first);
         let admitted =
             self.fence.lock().expect("no panic while held").admit(&fence_key, open.attempt);
@@ -212,8 +214,8 @@
                 Err(self.refuse(Cause::Busy, "open", e.to_string()).after(BUSY_RETRY))
             }
             Err(e) => {
-                // The session may have been opened all the same and would hold
-                // an engine slot for ever: fewer and fewer drafts would fit.
+                // The session may have been opened nevertheless. It would occupy an engine slot
+                // forever, and fewer and fewer drafts would fit.
                 cancel(self.engine.clone(), name);
                 Err(self.refuse(Cause::Unavailable, "open", e.to_string()))
             }
@@ -225,8 +227,8 @@
         info.as_ref().map(|i| i.incarnation.clone()).unwrap_or_default()
     }
 
-    /// True when the engine process of that incarnation has ended: nothing
-    /// listens at its port, or another process does.
+    /// Returns true if the engine process of that incarnation has ended: nothing listens at its
+    /// port, or another process does.
     async fn has_process_ended(&self, incarnation: &str) -> bool {
         for _ in 0..CRASH_CHECKS {
             match timeout(CRASH_CHECK_TIMEOUT, self.engine.info()).await {
@@ -239,7 +241,7 @@
                     self.set_info(None);
                     return true;
                 }
-                // A pooled connection to the dead process may fail first.
+                // A pooled connection to the ended process may fail first.
                 _ => tokio::time::sleep(CRASH_CHECK_PAUSE).await,
             }
         }
@@ -273,7 +275,7 @@
 }
 
 impl Session {
-    /// Runs a step. Positions come in order; the last step again gets the kept output.
+    /// Runs a step. Positions come in order; a retry of the last step gets the kept output.
     pub async fn step(&mut self, step: Step) -> Result<Output, Refusal> {
         if let Decision::Replay(output) = self.check(&step)? {
             return Ok(output);
@@ -281,7 +283,7 @@
         let table = self.table.clone();
         let alone = self.suspect || self.verdict() == Verdict::Alone;
         let _permit = table.crash.acquire(alone).await;
-        // A newer attempt or a quarantine may have come while the step waited.
+        // A newer attempt or a quarantine may have been recorded while the step waited.
         self.check(&step)?;
         if let Verdict::Refused { left } = self.verdict() {
             return Err(crash::refusal(&table.vm, "step", left));
@@ -319,7 +321,7 @@
             Err(e) => {
                 let unanswered = e.status().is_none();
                 if e.unsent() {
-                    // The engine was gone before: the step is not among those that ran.
+                    // The engine had ended before, so the step was not running at the crash.
                     drop(guard);
                     table.has_process_ended(&self.incarnation).await;
                     return Err(table.refuse(Cause::Lost, "step", e.to_string()));
@@ -363,12 +365,12 @@
 fn cancel(engine: Client, session: String) {
     tokio::spawn(async move {
         if let Err(e) = engine.cancel(&session).await {
-            log::debug!("stage: session {session} can't be cancelled: {e}");
+            log::debug!("stage: can't cancel session {session}: {e}");
         }
     });
 }
 
-/// The part of a request id that stays the same when the request moves to another head.
+/// Returns the part of a request id that stays the same when the request moves to another head.
 pub fn stable_id(request: &str) -> &str {
     request.rsplit('.').next().unwrap_or(request)
 }
--- a/crates/agent/src/write.rs
+++ b/crates/agent/src/write.rs
@@ -1,5 +1,5 @@
-//! Writes that must run at most once: the intent stands in the log before the
-//! service is asked, the receipt before the caller is answered.
+//! Runs writes at most once: the intent is appended to the log before the write is sent to the
+//! service, and the receipt before the caller is answered.
 
 mod append;
 mod follow;
@@ -20,36 +20,36 @@
 use crate::slot::Slot;
 use crate::{Agent, ledger};
 
-/// Entries that may wait to be appended.
+/// Maximum number of entries that wait to be appended.
 const MAX_QUEUED_ENTRIES: usize = 4096;
 
 /// Pause after a failed read or append.
 const LOG_RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How long to look in the stream for an append whose answer was lost.
+/// Time to wait for an entry to appear in the stream, in case the answer of its append was lost.
 const APPEND_CONFIRM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long the caller's answer waits for its receipt to stand in the log. After
-/// it the caller is answered all the same, and the receipt is still appended.
+/// Time that the caller's answer waits for its receipt to be appended. After it the caller is
+/// answered, and the receipt is still appended.
 const RECEIPT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// When a refused caller may come back while the log is out.
+/// Retry-after time given while the log is unavailable.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Name and incarnation under which entries are appended.
+/// VM and incarnation under which entries are appended.
 type Owner = (id::Vm, id::Incarnation);
 
-/// What has been read, and as whom this process reads it.
+/// What has been read of the stream, and the identity under which this process reads it.
 #[derive(Debug)]
 struct Reader {
     ledger: Ledger,
-    /// The incarnation is a new one after each gap in what was read.
+    /// The incarnation changes after each gap in what was read.
     owner: Owner,
-    /// Own tries that were given up before they were seen in the stream.
+    /// Own tries that were abandoned before they were read from the stream.
     abandoned: Vec<(Owner, TryRef)>,
 }
 
-/// Appends entries and follows the stream of one service.
+/// Appends entries to the stream of one service and reads it.
 #[derive(Debug)]
 pub struct Writer {
     vm: id::Vm,
@@ -61,7 +61,7 @@
     queue: mpsc::Sender<append::Queued>,
 }
 
-/// Starts following the stream of a service.
+/// Starts reading and appending to the stream of a service.
 pub fn start(node: &Arc<Node>, service: &str) -> Arc<Writer> {
     let (queue, entries) = mpsc::channel(MAX_QUEUED_ENTRIES);
     let vm = node.process.vm.clone();
@@ -80,10 +80,10 @@
     writer
 }
 
-/// Runs a write at most once for its key, whatever happens on the way.
+/// Runs a write at most once for its key, whatever fails meanwhile.
 pub async fn run(agent: Arc<Agent>, service: Arc<Service>, call: Call) -> Result<Reply, Refusal> {
-    // In a task of its own: when the router goes in the middle, the write is
-    // still carried to its receipt, and the caller who asks again gets it.
+    // Runs in its own task: if the router is lost, the write still gets its receipt, and the
+    // caller gets the answer on a retry.
     let vm = agent.node.process.vm.clone();
     match tokio::spawn(decide(agent, service, call)).await {
         Ok(decided) => decided,
@@ -132,7 +132,7 @@
     }
 }
 
-/// The decision on a repeat in words, for operators.
+/// Describes the decision on a retry, for operators.
 fn describe(record: &Record, content_hash: &str) -> &'static str {
     match &record.state {
         _ if record.content_hash != content_hash => {
@@ -143,7 +143,7 @@
     }
 }
 
-/// The answer to a write whose key is no longer open, or was used with another content.
+/// Returns the answer to a write whose key is no longer open, or was used with other content.
 fn repeat_answer(vm: &str, record: Record, content_hash: &str) -> Result<Reply, Refusal> {
     match &record.state {
         _ if record.content_hash != content_hash => {
@@ -158,7 +158,8 @@
     }
 }
 
-/// A repeat can't have the answer, and may not be told that the write did not run.
+/// Returns the refusal for a retry whose answer was too long to be kept. It must not say that the
+/// write did not run.
 fn too_long(vm: &str, answer: &Answer) -> Refusal {
     let kept = ledger::MAX_KEPT_BODY_BYTES;
     let why = format!(
@@ -169,7 +170,7 @@
     Refusal::refused(Cause::Conflict, "write", vm, why)
 }
 
-/// Sends a write whose intent was first, and appends what became of it.
+/// Sends a write whose intent was first, and appends its outcome.
 async fn run_first(
     agent: &Agent,
     service: &Service,
@@ -180,8 +181,8 @@
     until: Instant,
 ) -> Result<Reply, Refusal> {
     let writer = &service.writer;
-    // A process that was paused here may thaw after its key has been forgotten and run
-    // again by another: the caller has gone by then, so nothing is lost by not running it.
+    // A process that was paused here may resume after its key has expired and another agent has
+    // run it again. Its caller is gone by then, so nothing is lost by not running the write.
     let sent = match Instant::now() < until {
         true => {
             agent.node.trace.add(&call.request, "write", format!("runs as try {}", try_ref.id));
@@ -210,8 +211,8 @@
 }
 
 impl Writer {
-    /// True when writes can be taken: everything that is remembered has been read, and
-    /// this process's own start after it.
+    /// Returns true if writes can be accepted: the ledger is complete, and this process's own
+    /// start has been read.
     pub fn is_ready(&self) -> bool {
         *self.ready.borrow()
     }
@@ -220,8 +221,8 @@
         self.reader.lock().expect("no panic while held").ledger.find(key).cloned()
     }
 
-    /// Appends an intent and reads the stream up to it. The try when it is the first for
-    /// its key, `None` when another came before it.
+    /// Appends an intent and waits until it has been read. Returns the try if it is the first for
+    /// its key, or `None` if another one came before it.
     async fn append_intent(
         &self,
         key: &str,
@@ -250,16 +251,17 @@
         }
     }
 
-    /// Whether an own try runs; `None` while that has not been read.
+    /// Returns whether an own try is the first and runs; `None` while that has not been read.
     fn is_own_first(&self, owner: &Owner, try_ref: &TryRef) -> Option<bool> {
         let reader = self.reader.lock().expect("no panic while held");
-        // After a gap the old incarnation is gone: others may hold its intents for void.
+        // After a gap the old incarnation is no longer valid: others may treat its intents as
+        // void.
         let same = reader.owner == *owner && reader.ledger.is_ready(owner);
         if same { reader.ledger.is_first(&try_ref.key, &try_ref.id, owner) } else { None }
     }
 
-    /// Gives up an own intent that was not seen. It may still turn up; then it is
-    /// voided, since else the key would look as if it ran for ever.
+    /// Abandons an own intent that was not read. It may still appear in the stream and is voided
+    /// then; otherwise its key would look in progress forever.
     fn abandon(&self, owner: Owner, try_ref: TryRef) -> Result<Option<(Owner, TryId)>, Refusal> {
         let mut reader = self.reader.lock().expect("no panic while held");
         let same = reader.owner == owner;
--- a/crates/agent/src/write/append.rs
+++ b/crates/agent/src/write/append.rs
@@ -1,4 +1,4 @@
-//! Appending to the stream of a service, many entries in one record.
+//! Appends to the stream of a service, many entries in one record.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use super::{LOG_RETRY_PAUSE, Owner, Writer};
 use crate::ledger::{Batch, Entry};
 
-/// Entries appended together at most. One append is in flight at a time, so that
-/// a burst of writes costs the log few appends.
+/// Maximum number of entries in a record. One append is in flight at a time, so a burst of writes
+/// needs few appends.
 const MAX_BATCH_ENTRIES: usize = 256;
 
-/// Text of a record at which the next entry goes into another one, in bytes.
+/// Maximum length of a record's text; the next entry goes into another record.
 const MAX_RECORD_BYTES: usize = 256 << 10;
 
-/// First pause between two appends after the log refused one for its rate.
+/// Shortest pause between two appends after the log refused one for its rate.
 const MIN_APPEND_PAUSE: Duration = Duration::from_millis(2);
 
 /// Longest such pause.
 const MAX_APPEND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Times a record is tried again that was refused for the log's rate.
+/// Maximum number of retries of a record that the log refused for its rate.
 const MAX_RATE_RETRIES: u32 = 10;
 
-/// What became of an append.
+/// Outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Appended {
-    /// It stands in the log.
+    /// It is in the log.
     Yes,
-    /// The answer was lost: it may stand in the log.
+    /// The answer was lost: it may be in the log.
     Maybe,
-    /// It does not stand in the log.
+    /// It is not in the log.
     No,
 }
 
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Appends an entry however long the log is out, also when the caller no longer
-    /// waits. Appending it twice does no harm. A receipt whose append was lost with its
-    /// answer would else be missing for good, and a repeat be told "unknown".
+    /// Appends an entry however long the log is unavailable, even if the caller no longer waits.
+    /// A duplicate does no harm. Without retries, a receipt whose append failed together with its
+    /// answer would be missing for good, and a retry of the write would get "unknown".
     pub(super) async fn append_until_confirmed(self: &Arc<Writer>, owner: Owner, entry: Entry) {
         let writer = self.clone();
         let task = tokio::spawn(async move {
@@ -67,12 +67,12 @@
     }
 }
 
-/// Appends what is queued, as many entries at once as have come together.
+/// Appends the queued entries, as many together as have arrived.
 pub async fn run(writer: Arc<Writer>, mut queue: mpsc::Receiver<Queued>) {
     let mut queued = Vec::new();
-    // The rate of the log is shared by all agents, and none knows how many others append.
-    // So each pauses longer after a refusal and gathers more entries for its next record;
-    // without it refused receipts kept callers waiting by a fixed pause each time.
+    // The rate limit of the log is shared by all agents, and none knows how many others append.
+    // So each agent pauses longer after a refusal and collects more entries for its next record;
+    // with a fixed pause, every refused receipt would keep its caller waiting that long.
     let mut pause = Duration::ZERO;
     while queue.recv_many(&mut queued, MAX_BATCH_ENTRIES).await > 0 {
         let mut rest = queued.drain(..).peekable();
@@ -111,7 +111,7 @@
             Appended::Yes
         }
         Err(e) => {
-            log::warn!("write: the log did not take a record: {e}");
+            log::warn!("write: the log did not accept a record: {e}");
             match e {
                 rest::Error::Connect { .. } => Appended::No,
                 rest::Error::Status { status: 429 | 503, .. } => Appended::No,
@@ -124,7 +124,7 @@
     }
 }
 
-/// Bytes that an entry takes in a record, at least.
+/// Returns the bytes that an entry takes in a record, at least.
 fn length(entry: &Entry) -> usize {
     serde_json::to_string(entry).map_or(0, |text| text.len())
 }
--- a/crates/agent/src/write/follow.rs
+++ b/crates/agent/src/write/follow.rs
@@ -1,4 +1,4 @@
-//! Reading the stream of a service, and keeping its records from expiring.
+//! Reads the stream of a service, and appends checkpoints before its records expire.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,45 +12,46 @@
 use super::{APPEND_CONFIRM_TIMEOUT, LOG_RETRY_PAUSE, Owner, Reader, Writer};
 use crate::ledger::{CheckpointEnd, CheckpointRecord, Entry, TryRef};
 
-/// How long a read of the stream waits for news.
+/// Time that a read of the stream waits for new records.
 const READ_WAIT: Duration = Duration::from_secs(5);
 
 /// The same while this agent is not ready.
 const UNREADY_READ_WAIT: Duration = Duration::from_millis(500);
 
-/// Least wait, so that a reader with something due does not read without a pause.
+/// Shortest wait, so that a reader with a task due does not read without a pause.
 const MIN_READ_WAIT: Duration = Duration::from_millis(50);
 
-/// Age of the last carrying at which an agent carries again. Each agent draws its own
-/// age up to twice this; the first one to act spares the others. The log has to keep
-/// records for more than twice this, or, once records have expired, as many as show
-/// by themselves that the older half has to be carried.
+/// Age of the last checkpoint at which an agent appends the next one. Each agent draws an age
+/// from one to two times this, and the first agent to act spares the others. The log has to keep
+/// records for more than twice this time; once records have expired, the number of records that
+/// it keeps shows when the older half needs a checkpoint.
 const CHECKPOINT_INTERVAL: Duration = Duration::from_secs(10 * 60);
 
-/// Longest pause before records are carried that a late reader waits for.
+/// Longest delay of a checkpoint that an incomplete reader waits for.
 const MAX_URGENT_CHECKPOINT_DELAY: Duration = Duration::from_millis(500);
 
-/// Longest pause before the older half of what the log keeps is carried.
+/// Longest delay of a checkpoint for the older half of the log.
 const MAX_CHECKPOINT_DELAY: Duration = Duration::from_secs(4);
 
-/// Carried records appended before the next ones are queued.
+/// Checkpoint records that are appended before the next ones are queued.
 const CHECKPOINT_CHUNK: usize = 256;
 
-/// When to do what, besides reading.
+/// When to append starts and checkpoints.
 struct Schedule {
     /// When this agent last appended its start.
     start: Option<Instant>,
     /// True once its own start has been read.
     started: bool,
-    /// When it first read the stream, or again after a gap, or read that others can judge.
+    /// When this agent first read the stream, last skipped a gap, or last read that another was
+    /// complete.
     waiting_since: Instant,
-    /// When it carries records, unless another agent does so before.
+    /// When this agent appends a checkpoint, unless another one does so before.
     checkpoint: Instant,
-    /// The carrying in progress.
+    /// The task that appends a checkpoint.
     appending: Option<JoinHandle<()>>,
 }
 
-/// Reads the stream for ever, applies it, and says when writes can be taken.
+/// Reads and applies the stream forever, and publishes whether writes can be accepted.
 pub async fn run(writer: Arc<Writer>, node: Arc<Node>) {
     let mut schedule = Schedule {
         start: None,
@@ -94,16 +95,16 @@
     writer.reader.lock().expect("no panic while held").ledger.undecodable
 }
 
-/// Applies a page; returns the next offset to read.
+/// Applies a page and returns the next offset to read.
 fn apply_page(writer: &Writer, schedule: &mut Schedule, page: &Page) -> u64 {
     let mut reader = writer.reader.lock().expect("no panic while held");
     let first_look = reader.ledger.next == 0;
     if reader.ledger.skip_expired(page.first) {
         schedule.waiting_since = Instant::now();
         if !first_look {
-            // This process was paused until records had expired unread. It can't know
-            // whether its VM was started anew meanwhile, so it goes on as a new start.
-            log::warn!("write: records expired unread; everything is read anew");
+            // This process was paused until records had expired unread. It can't know whether its
+            // VM was restarted meanwhile, so it continues under a new incarnation.
+            log::warn!("write: records expired unread; the ledger is rebuilt");
             reader.owner.1 = (reader.owner.1 + 1).max(node::incarnation());
             (schedule.start, schedule.started) = (None, false);
         }
@@ -121,14 +122,14 @@
     reader.ledger.next
 }
 
-/// Appends this agent's start until it has been read, and begins anew when nobody has
-/// been able to judge for the key window.
+/// Appends this agent's start until it has been read. Also appends a reset if no agent has been
+/// complete for the key window.
 fn append_start(writer: &Arc<Writer>, schedule: &mut Schedule, window: Duration) {
     let reader = writer.reader.lock().expect("no panic while held");
     if let Some(reset) = reader.ledger.reset_entry()
         && schedule.waiting_since.elapsed() > window
     {
-        log::warn!("write: nobody carried what expired for the key window; beginning anew");
+        log::warn!("write: no checkpoint for the key window; the ledger is reset");
         schedule.waiting_since = Instant::now();
         let (writer, owner) = (writer.clone(), reader.owner.clone());
         tokio::spawn(async move { writer.append(&owner, Entry::Reset(reset)).await });
@@ -137,8 +138,8 @@
     schedule.started |= seen == Some(reader.owner.1);
     let wanted = match seen {
         Some(incarnation) if incarnation == reader.owner.1 => false,
-        // A process that thaws after its VM was started again stays out of the way; one
-        // whose predecessor's start came late appends its own again.
+        // A process that resumes after its VM was restarted does not append its start; one whose
+        // predecessor's start came late appends its own again.
         Some(incarnation) if schedule.started => incarnation < reader.owner.1,
         _ => true,
     };
@@ -149,7 +150,8 @@
     }
 }
 
-/// Carries what would expire, after a pause in which another agent may do it first.
+/// Appends a checkpoint before records expire, after a delay in which another agent may do so
+/// first.
 fn checkpoint_if_due(writer: &Arc<Writer>, schedule: &mut Schedule, page: &Page, window: Duration) {
     let now = Instant::now();
     let reader = writer.reader.lock().expect("no panic while held");
@@ -172,8 +174,8 @@
     }
 }
 
-/// Appends carried writes, and what they add up to after all of them stand in the log:
-/// a late reader that sees the last entry relies on having read all the others.
+/// Appends a checkpoint, its end only after all its records are in the log: an incomplete reader
+/// that reads the end relies on having read all of them.
 async fn append_checkpoint(
     writer: Arc<Writer>,
     owner: Owner,
@@ -186,14 +188,16 @@
     }
     let (count, before) = (records.len(), end.read_end);
     writer.append_until_confirmed(owner, Entry::CheckpointEnd(end)).await;
-    log::info!("write: carried {count} writes; records before {before} can expire");
+    log::info!(
+        "write: appended a checkpoint of {count} writes; records before {before} can expire"
+    );
 }
 
-/// Voids own tries that were given up and have turned up in the stream.
+/// Voids own abandoned tries that have appeared in the stream.
 fn void_abandoned(writer: &Arc<Writer>) {
     let mut reader = writer.reader.lock().expect("no panic while held");
     let Reader { ledger, abandoned, .. } = &mut *reader;
-    // A late reader does not know yet whether its try was the first.
+    // An incomplete reader does not know yet whether its try was the first.
     if !ledger.is_complete() {
         return;
     }
@@ -213,7 +217,7 @@
     if writer.ready.send_replace(ready) != ready {
         match ready {
             true => log::info!("write: ready, the log of writes has been read"),
-            false => log::warn!("write: not ready, the log of writes has to be read anew"),
+            false => log::warn!("write: not ready, the log of writes has to be read again"),
         }
     }
 }
