--- a/crates/agent/examples/recovery.rs
+++ b/crates/agent/examples/recovery.rs
@@ -1,8 +1,8 @@
-//! Measures three ways of recovering a lost stage, beside the stand-in engines.
+//! Measures three ways of recovering a lost stage, with stand-in engines.
 //!
-//! `cargo run --release -p agent --example recovery` prints for a short and a long
-//! prompt the time from the loss of the middle range to the next token, the layer
-//! runs that were repeated, and what the way costs while nothing fails.
+//! `cargo run --release -p agent --example recovery` prints, for a short and a long prompt, the
+//! time from the loss of the middle range to the next token, the number of repeated layer runs,
+//! and the cost of each way while nothing fails.
 
 use std::time::{Duration, Instant};
 
@@ -13,13 +13,13 @@
 /// Layers of a range; there are three ranges.
 const LAYERS: u32 = 4;
 
-/// Positions between two exports of the state.
+/// Number of positions between two exports of the state.
 const EXPORT_EVERY: u32 = 16;
 
 /// Tokens generated before the loss.
 const GENERATED: u32 = 30;
 
-/// Runs of each way; the median is printed.
+/// Runs of each way, of which the median is printed.
 const RUNS: usize = 15;
 
 /// A draft in progress: sessions at three engines and the inputs of each.
@@ -67,7 +67,7 @@
         Draft { engines: engines.to_vec(), names, kept: vec![Vec::new(); 3], next: 0 }
     }
 
-    /// Runs the ranges from `first` on and keeps their inputs.
+    /// Runs the ranges from `first` on and records their inputs.
     async fn run(&mut self, first: usize, mut inputs: Vec<u64>) {
         for i in first..3 {
             let position = self.kept[i].len() as u32;
@@ -80,7 +80,8 @@
     }
 }
 
-/// A draft that lost its middle range after some tokens, and the last export.
+/// Returns a draft that has lost its middle range after some tokens, and the last export of the
+/// range.
 async fn lost(engines: &[Client], name: &str, prompt: u32) -> (Draft, engine::Kv, Duration) {
     let mut draft = Draft::start(engines, name).await;
     draft.run(0, (0..u64::from(prompt)).collect()).await;
@@ -97,8 +98,8 @@
     (draft, kv.expect("one export"), exporting)
 }
 
-/// The way of recovering: 0 replay, 1 import, 2 new attempt. Gives the time to
-/// the next token and the repeated layer runs.
+/// Recovers in one of three ways: 0 is replay, 1 is import, 2 is a new attempt. Returns the time
+/// to the next token and the number of repeated layer runs.
 async fn recover(
     way: usize,
     draft: &mut Draft,
--- a/crates/agent/tests/ledger.rs
+++ b/crates/agent/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What the ledger of writes makes of records.
+//! Decisions of the ledger of writes on given records.
 
 use agent::ledger::{Answer, Batch, Body, CheckpointRecord, Entry, MAX_KEPT_BODY_BYTES};
 use agent::ledger::{CheckpointEnd, Intent, Ledger, Receipt, Record, State, TryRef};
@@ -17,7 +17,7 @@
     Entry::Intent(Intent { key: key.into(), content_hash: "p".into(), id: id.into() })
 }
 
-fn mark(key: &str, id: &str) -> TryRef {
+fn try_ref(key: &str, id: &str) -> TryRef {
     TryRef { key: key.into(), id: id.into() }
 }
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_log_decides() {
+fn the_order_of_the_log_decides() {
     let receipt =
         |id: &str| Entry::Receipt(Receipt { key: "k".into(), id: id.into(), answer: answer(1) });
     let cases = [
@@ -52,9 +52,9 @@
             state: Some(State::Open),
         },
         Case {
-            name: "a voided intent makes room",
+            name: "a voided intent frees the key",
             records: vec![
-                record("a", 1, vec![intent("k", "x"), Entry::Void(mark("k", "x"))]),
+                record("a", 1, vec![intent("k", "x"), Entry::Void(try_ref("k", "x"))]),
                 record("b", 1, vec![intent("k", "y")]),
             ],
             first: Some("y"),
@@ -64,7 +64,7 @@
             name: "nobody but its owner can void an intent",
             records: vec![
                 record("a", 1, vec![intent("k", "x")]),
-                record("b", 1, vec![Entry::Void(mark("k", "x")), intent("k", "y")]),
+                record("b", 1, vec![Entry::Void(try_ref("k", "x")), intent("k", "y")]),
             ],
             first: Some("x"),
             state: Some(State::Open),
@@ -99,11 +99,11 @@
             state: Some(State::Settled(answer(1))),
         },
         Case {
-            name: "an answer is not taken back",
+            name: "an answer is not replaced",
             records: vec![record(
                 "a",
                 1,
-                vec![intent("k", "x"), receipt("x"), Entry::Lost(mark("k", "x"))],
+                vec![intent("k", "x"), receipt("x"), Entry::Lost(try_ref("k", "x"))],
             )],
             first: Some("x"),
             state: Some(State::Settled(answer(1))),
@@ -126,13 +126,14 @@
     }
 }
 
-/// An answer that comes back changed from the log would tell the caller another number than
-/// the one it was given; a body as an array of numbers would fill the log's limit of a record.
+/// A kept answer must be returned unchanged: otherwise a retry would give the caller another
+/// answer than the first try. A body as an array of numbers would exceed the log's limit of a
+/// record.
 #[rstest]
 #[case::text(b"{\"number\":7}".to_vec(), 20)]
 #[case::other_bytes(vec![0xff; 100], 210)]
 #[case::empty(vec![], 10)]
-fn a_kept_answer_comes_back_as_it_was(#[case] body: Vec<u8>, #[case] most: usize) {
+fn a_kept_answer_is_returned_unchanged(#[case] body: Vec<u8>, #[case] most: usize) {
     let headers = vec![("x-a".to_string(), "b".to_string())];
     let reply = Reply { status: 201, headers, body, replayed: true };
     let kept = Answer::from_reply(&reply);
@@ -143,14 +144,14 @@
 }
 
 #[test]
-fn a_long_answer_is_not_kept_and_not_made_up() {
+fn a_long_answer_is_not_kept() {
     let body = vec![b'a'; MAX_KEPT_BODY_BYTES + 1];
     let kept = Answer::from_reply(&Reply { status: 201, headers: vec![], body, replayed: false });
     assert_eq!(kept.body, Body::Long(MAX_KEPT_BODY_BYTES as u64 + 1));
     assert_eq!(kept.to_reply(), None);
 }
 
-fn carry(id: &str, read_end: u64) -> Entry {
+fn checkpoint_record(id: &str, read_end: u64) -> Entry {
     let (key, id, content_hash) = ("k".into(), id.into(), "p".into());
     let (owner, state) = (("a".to_string(), 1), State::Settled(answer(1)));
     Entry::CheckpointRecord(CheckpointRecord {
@@ -159,7 +160,7 @@
     })
 }
 
-fn kept(read_end: u64, count: usize, cutoff_ms: u64) -> Entry {
+fn checkpoint_end(read_end: u64, count: usize, cutoff_ms: u64) -> Entry {
     Entry::CheckpointEnd(CheckpointEnd {
         read_end,
         count,
@@ -168,75 +169,80 @@
     })
 }
 
-struct Late {
+struct CatchUpCase {
     name: &'static str,
     entries: Vec<Entry>,
     complete: bool,
     found: Option<&'static str>,
 }
 
-/// An agent starts when the first records of the log have expired. Did it judge by what is
-/// left, it would run a write whose intent and receipt are gone, and the order stood twice.
+/// An agent starts after the first records of the log have expired. If it decided on what is
+/// left, it would run a write whose intent and receipt are gone, and the order would be placed
+/// twice.
 #[test]
-fn a_late_reader_waits_for_what_it_missed() {
+fn an_incomplete_reader_waits_for_a_checkpoint() {
     let cases = [
-        Late {
-            name: "nothing has been carried",
+        CatchUpCase {
+            name: "no checkpoint",
             entries: vec![intent("k", "x")],
             complete: false,
             found: None,
         },
-        Late {
-            name: "all that was known at the first kept record",
-            entries: vec![carry("x", 5), kept(5, 1, 0)],
+        CatchUpCase {
+            name: "a checkpoint at the first kept record",
+            entries: vec![checkpoint_record("x", 5), checkpoint_end(5, 1, 0)],
             complete: true,
             found: Some("x"),
         },
-        Late {
-            name: "the author had not read all that was missed",
-            entries: vec![carry("x", 4), kept(4, 1, 0)],
+        CatchUpCase {
+            name: "the author had not read all missed records",
+            entries: vec![checkpoint_record("x", 4), checkpoint_end(4, 1, 0)],
             complete: false,
             found: None,
         },
-        Late {
-            name: "a carried write is missing",
-            entries: vec![carry("x", 5), kept(5, 2, 0)],
+        CatchUpCase {
+            name: "a record of the checkpoint is missing",
+            entries: vec![checkpoint_record("x", 5), checkpoint_end(5, 2, 0)],
             complete: false,
             found: None,
         },
-        Late {
-            name: "a carried write that came twice counts once",
-            entries: vec![carry("x", 5), carry("x", 5), kept(5, 1, 0)],
+        CatchUpCase {
+            name: "a record that was appended twice counts once",
+            entries: vec![
+                checkpoint_record("x", 5),
+                checkpoint_record("x", 5),
+                checkpoint_end(5, 1, 0),
+            ],
             complete: true,
             found: Some("x"),
         },
-        Late {
-            name: "writes carried from two offsets make no whole",
-            entries: vec![carry("x", 5), kept(6, 1, 0)],
+        CatchUpCase {
+            name: "records of checkpoints at two offsets are not combined",
+            entries: vec![checkpoint_record("x", 5), checkpoint_end(6, 1, 0)],
             complete: false,
             found: None,
         },
-        Late {
+        CatchUpCase {
             name: "an intent that only looked like the first",
-            entries: vec![intent("k", "y"), carry("x", 5), kept(5, 1, 0)],
+            entries: vec![intent("k", "y"), checkpoint_record("x", 5), checkpoint_end(5, 1, 0)],
             complete: true,
             found: Some("x"),
         },
-        Late {
-            name: "an intent after what was carried",
-            entries: vec![kept(5, 0, 0), intent("k", "y")],
+        CatchUpCase {
+            name: "an intent after the checkpoint",
+            entries: vec![checkpoint_end(5, 0, 0), intent("k", "y")],
             complete: true,
             found: Some("y"),
         },
-        Late {
-            name: "an intent before what was carried, and voided before it",
-            entries: vec![intent("k", "y"), kept(6, 0, 0)],
+        CatchUpCase {
+            name: "an intent before the checkpoint, voided before it",
+            entries: vec![intent("k", "y"), checkpoint_end(6, 0, 0)],
             complete: true,
             found: None,
         },
-        Late {
+        CatchUpCase {
             name: "older than the window",
-            entries: vec![carry("x", 5), kept(5, 1, 2_000)],
+            entries: vec![checkpoint_record("x", 5), checkpoint_end(5, 1, 2_000)],
             complete: true,
             found: None,
         },
@@ -252,13 +258,13 @@
     }
 }
 
-/// A process whose VM was started again, by a start that a late reader has not read: its
-/// intent is void for all others, so it must be void for the late reader as well.
+/// A VM was restarted, and an incomplete reader has not read that start. The old process's intent
+/// is void for all other readers, so it must be void for this one as well.
 #[test]
-fn starts_are_carried() {
+fn a_checkpoint_contains_the_starts() {
     let mut ledger = Ledger::new();
     ledger.skip_expired(5);
-    ledger.apply(5, 1_000, &record("b", 1, vec![kept(5, 0, 0)]));
+    ledger.apply(5, 1_000, &record("b", 1, vec![checkpoint_end(5, 0, 0)]));
     ledger.apply(6, 1_000, &record("a", 1, vec![intent("k", "old")]));
     assert!(ledger.find("k").is_none());
     ledger.apply(7, 1_000, &record("a", 2, vec![intent("k", "new")]));
--- a/crates/agent/tests/play.rs
+++ b/crates/agent/tests/play.rs
@@ -1,4 +1,4 @@
-//! The ledger of writes, played without a network over many seeds.
+//! Simulates the ledger of writes for many seeds, without a network.
 
 use std::rc::Rc;
 
@@ -14,26 +14,26 @@
 const VMS: usize = 3;
 const EVENTS: usize = 3_000;
 
-/// The log's clock: milliseconds from one record to the next.
+/// Milliseconds from one record to the next, by the log's clock.
 const RECORD_MS: u64 = 10_000;
 
-/// How long a key is remembered.
+/// Time for which a key is remembered.
 const WINDOW_MS: u64 = 80 * RECORD_MS;
 
-/// A caller has gone after this; its write is not sent any more.
+/// Deadline of a caller, after which its write is not sent.
 const DEADLINE_MS: u64 = 30 * RECORD_MS;
 
-/// What keeps writes from running twice, in parts that can be left out.
+/// The measures that keep writes from running twice, and variants with one of them left out.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Guard {
     All,
-    /// A late reader judges by what is left of the log.
-    LateTrusts,
-    /// A paused reader goes on with what it knew before the gap.
-    GapTrusts,
-    /// It is said that all has been carried, and nothing was.
-    NoCarry,
-    /// No intents at all.
+    /// An incomplete reader decides on what is left of the log.
+    NoCatchUp,
+    /// A paused reader continues with what it knew before the gap.
+    NoGapCheck,
+    /// The end of a checkpoint is appended without its records.
+    EmptyCheckpoints,
+    /// Writes run without intents.
     None,
 }
 
@@ -45,40 +45,41 @@
     time_ms: u64,
 }
 
-/// One process beside the service. It may be frozen for any time and thaw after
-/// its VM was started again with a newer process, or after records have expired.
+/// An agent process. It may be frozen for any time and resume after its VM was restarted with a
+/// newer process, or after records have expired.
 struct Process {
     owner: (String, u64),
     ledger: Ledger,
-    /// When it began to read, by a clock of its own.
+    /// When it started to read, by its own clock.
     began: u64,
-    /// Tries that have been appended and not yet been decided.
-    claimed: Vec<Claim>,
-    /// Tries that were given up.
+    /// Tries whose intents have been appended and not decided yet.
+    undecided: Vec<Claim>,
+    /// Abandoned tries.
     abandoned: Vec<Claim>,
-    /// Tries seen to be first, about to be sent to the service.
+    /// Tries read to be the first of their key, not sent to the service yet.
     sending: Vec<Claim>,
-    /// Carried writes still to be appended, and what they add up to.
-    carrying: Option<(Vec<CheckpointRecord>, CheckpointEnd)>,
+    /// Checkpoint records still to be appended, and the end of the checkpoint.
+    checkpointing: Option<(Vec<CheckpointRecord>, CheckpointEnd)>,
 }
 
 struct World {
     guard: Guard,
-    /// Reads every record as it is appended.
+    /// Reads every record when it is appended.
     witness: Ledger,
-    /// Looks at which a complete reader knew something else than the witness did there.
-    apart: usize,
-    /// What the witness knew of each key just before each offset.
+    /// Reads after which a complete reader knew other records than the witness at the same
+    /// offset.
+    mismatches: usize,
+    /// Records that the witness knew just before each offset, one for each key.
     known: Vec<Rc<Vec<Option<Record>>>>,
     log: Vec<String>,
-    /// Oldest record that is kept.
+    /// Offset of the oldest record in the log.
     first: usize,
     /// Appends whose answer was lost and that take effect later.
-    flying: Vec<String>,
+    in_flight: Vec<String>,
     /// Key and time of the intent of each run.
     runs: Vec<(String, u64)>,
-    /// Beginnings anew that were appended.
-    anew: usize,
+    /// Resets that were appended.
+    resets: usize,
     tries: u64,
     incarnation: u64,
 }
@@ -88,11 +89,11 @@
         self.log.len() as u64 * RECORD_MS
     }
 
-    fn land(&mut self, data: String) {
+    fn commit(&mut self, data: String) {
         let offset = self.log.len() as u64;
         let before = self.known.last().cloned();
         self.known.push(match before {
-            // A carried write changes nothing for the witness, and most records are such.
+            // A checkpoint record changes nothing for the witness, and most records are such.
             Some(known) if self.log.last().is_some_and(|data| data.contains("\"carry\"")) => known,
             _ => Rc::new(all(&self.witness)),
         });
@@ -106,8 +107,8 @@
         let data = serde_json::to_string(&batch).unwrap();
         match rng.random_range(0..20) {
             0 => {}
-            1 => self.flying.push(data),
-            _ => self.land(data),
+            1 => self.in_flight.push(data),
+            _ => self.commit(data),
         }
     }
 
@@ -116,8 +117,8 @@
         self.incarnation
     }
 
-    /// Runs of a key that followed another within the window.
-    fn doubled(&self) -> usize {
+    /// Number of runs of a key that followed another one within the window.
+    fn double_runs(&self) -> usize {
         let mut runs = self.runs.clone();
         runs.sort();
         runs.windows(2).filter(|w| w[0].0 == w[1].0 && w[1].1 - w[0].1 <= WINDOW_MS).count()
@@ -133,22 +134,22 @@
         owner: (format!("vm-{vm}"), world.incarnation()),
         ledger: Ledger::new(),
         began: world.now(),
-        claimed: vec![],
+        undecided: vec![],
         abandoned: vec![],
         sending: vec![],
-        carrying: None,
+        checkpointing: None,
     }
 }
 
 fn read(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
     let late = process.ledger.next == 0;
-    let trusts = match world.guard {
-        Guard::LateTrusts => late,
-        Guard::GapTrusts => !late,
+    let ignores_expiry = match world.guard {
+        Guard::NoCatchUp => late,
+        Guard::NoGapCheck => !late,
         _ => false,
     };
-    if trusts {
-        // The bare reading of what is left: `apply` goes on behind the gap.
+    if ignores_expiry {
+        // Reads what is left of the log: `apply` continues after the gap.
     } else if process.ledger.skip_expired(world.first as u64) {
         process.began = world.now();
         if !late {
@@ -169,18 +170,18 @@
             Some(known) => **known == all(&process.ledger),
             None => all(&world.witness) == all(&process.ledger),
         };
-        world.apart += usize::from(!agrees);
+        world.mismatches += usize::from(!agrees);
     }
     if to < world.log.len() {
         return;
     }
-    if let Some(anew) = process.ledger.reset_entry()
+    if let Some(reset) = process.ledger.reset_entry()
         && world.now() - process.began > WINDOW_MS
     {
         let owner = process.owner.clone();
-        world.append(&owner, Entry::Reset(anew), rng);
+        world.append(&owner, Entry::Reset(reset), rng);
         process.began = world.now();
-        world.anew += 1;
+        world.resets += 1;
     }
     let started = process.ledger.incarnation_of(&process.owner.0);
     if started.is_none_or(|s| s < process.owner.1) {
@@ -189,7 +190,7 @@
     }
 }
 
-fn ask(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
+fn start_write(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
     let key = format!("k{}", rng.random_range(0..KEYS));
     let id = format!("t{}", world.tries);
     world.tries += 1;
@@ -202,14 +203,14 @@
             let (key, id) = (claim.key.clone(), claim.id.clone());
             let intent = Entry::Intent(Intent { key, content_hash: "p".into(), id });
             world.append(&claim.owner, intent, rng);
-            process.claimed.push(claim);
+            process.undecided.push(claim);
         }
         _ => {}
     }
 }
 
 fn decide(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
-    for mut claim in std::mem::take(&mut process.claimed) {
+    for mut claim in std::mem::take(&mut process.undecided) {
         let found = process.ledger.find(&claim.key);
         let runs = match claim.owner == process.owner {
             true => process.ledger.is_first(&claim.key, &claim.id, &claim.owner),
@@ -222,7 +223,7 @@
             }
             Some(false) => {}
             None if rng.random_bool(0.5) => process.abandoned.push(claim),
-            None => process.claimed.push(claim),
+            None => process.undecided.push(claim),
         }
     }
     if process.ledger.is_complete() {
@@ -238,7 +239,7 @@
     }
 }
 
-/// The service can be asked now, or it can't be reached, or its answer is lost.
+/// Sends a write to the service, which may be unreachable or whose answer may be lost.
 fn send(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
     let Some(claim) = process.sending.pop() else { return };
     let (key, id) = (claim.key.clone(), claim.id.clone());
@@ -259,52 +260,54 @@
     }
 }
 
-fn carry(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
+fn checkpoint(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
     let owner = process.owner.clone();
-    match process.carrying.take() {
+    match process.checkpointing.take() {
         None => {
-            process.carrying = process.ledger.checkpoint(WINDOW_MS);
-            if let (Guard::NoCarry, Some((writes, kept))) = (world.guard, &mut process.carrying) {
+            process.checkpointing = process.ledger.checkpoint(WINDOW_MS);
+            if let (Guard::EmptyCheckpoints, Some((writes, end))) =
+                (world.guard, &mut process.checkpointing)
+            {
                 writes.clear();
-                kept.count = 0;
+                end.count = 0;
             }
         }
-        Some((mut writes, kept)) => match writes.pop() {
+        Some((mut writes, end)) => match writes.pop() {
             Some(write) => {
-                // Appended again until its answer says that it stands there.
+                // Retried until it is in the log.
                 let before = world.log.len();
                 while world.log.len() == before {
                     world.append(&owner, Entry::CheckpointRecord(write.clone()), rng);
                 }
-                process.carrying = Some((writes, kept));
+                process.checkpointing = Some((writes, end));
             }
-            None => world.append(&owner, Entry::CheckpointEnd(kept), rng),
+            None => world.append(&owner, Entry::CheckpointEnd(end), rng),
         },
     }
 }
 
-/// One thing a process does.
+/// Lets a process take one step.
 fn act(world: &mut World, process: &mut Process, rng: &mut impl Rng) {
     match rng.random_range(0..11) {
         0..=3 => read(world, process, rng),
-        4 | 5 => ask(world, process, rng),
+        4 | 5 => start_write(world, process, rng),
         6 => decide(world, process, rng),
         7 | 8 => send(world, process, rng),
-        _ => carry(world, process, rng),
+        _ => checkpoint(world, process, rng),
     }
 }
 
-fn play(seed: u64, guard: Guard) -> World {
+fn simulate(seed: u64, guard: Guard) -> World {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut world = World {
         guard,
         witness: Ledger::new(),
-        apart: 0,
+        mismatches: 0,
         known: vec![],
-        anew: 0,
+        resets: 0,
         log: vec![],
         first: 0,
-        flying: vec![],
+        in_flight: vec![],
         runs: vec![],
         tries: 0,
         incarnation: 0,
@@ -312,7 +315,7 @@
     let mut processes: Vec<Process> = (0..VMS).map(|vm| start(&mut world, vm)).collect();
     for _ in 0..EVENTS {
         if rng.random_bool(0.006) {
-            // The old process on the VM may be frozen and go on later, or be dead.
+            // The old process on the VM is frozen and resumes later, or has ended.
             let vm = rng.random_range(0..VMS);
             if rng.random_bool(0.7) {
                 processes.retain(|p| p.owner.0 != format!("vm-{vm}"));
@@ -324,10 +327,10 @@
             let kept = rng.random_range(0..200);
             world.first = world.first.max(world.log.len().saturating_sub(kept));
         }
-        if rng.random_bool(0.1) && !world.flying.is_empty() {
-            let i = rng.random_range(0..world.flying.len());
-            let data = world.flying.swap_remove(i);
-            world.land(data);
+        if rng.random_bool(0.1) && !world.in_flight.is_empty() {
+            let i = rng.random_range(0..world.in_flight.len());
+            let data = world.in_flight.swap_remove(i);
+            world.commit(data);
         }
         let i = rng.random_range(0..processes.len());
         let mut process = processes.swap_remove(i);
@@ -337,38 +340,39 @@
     world
 }
 
-/// Callers ask for the same write through several agents, answers of the service and appends
-/// to the log are lost or land late, agents are killed, frozen and thawed after their VM was
-/// started again or after records have expired, and others start when the first records are
-/// gone. A client would be billed twice for one order.
+/// Callers send the same write through several agents. Answers of the service and appends to the
+/// log are lost or take effect late; agents are killed, or frozen and resumed after their VM was
+/// restarted or records have expired; others start after the first records have expired. A write
+/// that ran twice would bill a client twice for one order.
 #[rstest]
 fn a_write_runs_at_most_once_over_many_seeds(#[values(0, 250, 500, 750)] from: u64) {
-    let (mut ran, mut late, mut anew) = (0, 0, 0);
+    let (mut ran, mut late, mut resets) = (0, 0, 0);
     for seed in from..from + 250 {
-        let world = play(seed, Guard::All);
-        assert_eq!(world.doubled(), 0, "seed {seed}: runs {:?}", world.runs);
-        // A late reader that knows other than the rest answers a repeat otherwise than they
-        // do, or lets a key run that they hold for used.
-        assert_eq!(world.apart, 0, "seed {seed}: complete readers know other than the witness");
+        let world = simulate(seed, Guard::All);
+        assert_eq!(world.double_runs(), 0, "seed {seed}: runs {:?}", world.runs);
+        // A reader that knows other records than the rest would answer a retry differently, or
+        // let a key run that the others treat as used.
+        assert_eq!(world.mismatches, 0, "seed {seed}: complete readers differ from the witness");
         ran += world.runs.len();
-        anew += world.anew;
+        resets += world.resets;
         late += usize::from(world.first > 0);
     }
-    println!("{ran} runs in 250 seeds, records expired in {late}, begun anew {anew} times");
-    assert!(ran > 5_000 && late > 225, "the play runs hardly anything: {ran}, {late}");
+    println!("{ran} runs in 250 seeds, records expired in {late}, {resets} resets");
+    assert!(ran > 5_000 && late > 225, "too few runs or expired records: {ran}, {late}");
 }
 
-/// The same play with one part left out shows that it would find the doubled write. Callers
-/// of a fleet without that part would see two orders for one key.
+/// The same simulation with one measure left out shows that it would detect a doubled write.
+/// Without that measure, callers would get two orders for one key.
 #[rstest]
-#[case::late_readers_judge(Guard::LateTrusts)]
-#[case::paused_readers_go_on(Guard::GapTrusts)]
-#[case::nothing_is_carried(Guard::NoCarry)]
+#[case::no_catch_up(Guard::NoCatchUp)]
+#[case::no_gap_check(Guard::NoGapCheck)]
+#[case::empty_checkpoints(Guard::EmptyCheckpoints)]
 #[case::no_intents(Guard::None)]
-fn without_one_part_the_same_play_doubles_writes(#[case] guard: Guard) {
-    let worlds = (0..200).map(|seed| play(seed, guard));
-    let (ran, doubled) = worlds
-        .fold((0, 0), |(ran, seeds), w| (ran + w.runs.len(), seeds + usize::from(w.doubled() > 0)));
+fn without_one_measure_writes_run_twice(#[case] guard: Guard) {
+    let worlds = (0..200).map(|seed| simulate(seed, guard));
+    let (ran, doubled) = worlds.fold((0, 0), |(ran, seeds), w| {
+        (ran + w.runs.len(), seeds + usize::from(w.double_runs() > 0))
+    });
     println!("{guard:?}: {doubled} of 200 seeds double a write, {ran} runs");
     assert!(doubled > 0, "no seed of {guard:?} doubles a write");
 }
--- a/crates/agent/tests/turn.rs
+++ b/crates/agent/tests/turn.rs
@@ -1,4 +1,4 @@
-//! Order and fencing of a stage's sessions over many seeds, without a network.
+//! Order and fencing of a stage's sessions, for many seeds and without a network.
 
 use agent::fence::Fence;
 use agent::sequencer::{Decision, Sequencer};
@@ -7,13 +7,13 @@
 use wire::frame::{Output, Step};
 use wire::refusal::Cause;
 
-/// Seeds played.
+/// Number of seeds.
 const SEEDS: u64 = 2000;
 
-/// Frames of one play.
+/// Steps and new sessions of one run.
 const FRAMES: usize = 60;
 
-/// One attempt's session and what its engine ran.
+/// The session of one attempt and the positions that its engine ran.
 #[derive(Default)]
 struct Session {
     attempt: u32,
@@ -27,7 +27,7 @@
     (state ^ input).wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(u64::from(position))
 }
 
-/// The engine runs the step; the answer may be lost on its way.
+/// Runs a step at the engine. If `lost`, the answer does not arrive.
 fn run(session: &mut Session, step: &Step, lost: bool) -> Option<Output> {
     session.sequencer.begin();
     let mut outputs = Vec::new();
@@ -43,7 +43,7 @@
     })
 }
 
-/// What a position puts out when every position ran once and in order.
+/// Returns the output of a position if every position up to it ran once and in order.
 fn straight(last: u32) -> u64 {
     (0..=last).fold(0, |state, position| mix(state, position, u64::from(position)))
 }
@@ -52,10 +52,10 @@
     Step { position, inputs: (position..position + count).map(u64::from).collect() }
 }
 
-/// Frames of several heads of one request reach a stage late, twice and out of
-/// order, and answers of the engine are lost. If a position ran twice or out of
-/// order in one attempt, the caller's text would differ from the straight-through
-/// one; if an older attempt went on beside a newer one, layers would run twice.
+/// Frames of several heads of one request reach a stage late, twice and out of order, and answers
+/// of the engine are lost. If a position ran twice or out of order in one attempt, the text would
+/// differ from that of an uninterrupted run; if an older attempt continued beside a newer one,
+/// layers would run twice.
 #[test]
 fn every_position_runs_once_and_in_order() {
     for seed in 0..SEEDS {
@@ -77,7 +77,7 @@
             let newest = fence.newest("request");
             let session = &mut sessions[i];
             let due = session.ran.last().map_or(0, |p| p + 1);
-            // Mostly the next position, else any: an earlier one or a later one.
+            // Mostly the next position, otherwise an earlier or a later one.
             let position = if rng.random_bool(0.7) { due } else { rng.random_range(0..due + 3) };
             let asked = step(position, rng.random_range(1..4));
             match session.sequencer.check(&asked, session.attempt, newest) {
@@ -101,8 +101,8 @@
     }
 }
 
-/// After a lost answer it is not known whether the positions ran. A head that
-/// sends the step again must not get it run a second time.
+/// After a lost answer it is not known whether the positions ran. A head that sends the step
+/// again must not make it run a second time.
 #[test]
 fn a_lost_step_is_not_run_again() {
     let mut session = Session::default();
@@ -111,8 +111,8 @@
     assert_eq!(session.sequencer.check(&first, 0, 0).unwrap_err().cause, Cause::Lost);
 }
 
-/// One request may run two ranges at one agent in turn, when its engine was
-/// ordered to load another range. Attempts of one must not fence off the other.
+/// One request may run two ranges at one agent in succession, if its engine was ordered to load
+/// another range. Attempts of one range must not fence off the other.
 #[test]
 fn each_key_has_attempts_of_its_own() {
     let mut fence = Fence::default();
