--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,9 +1,8 @@
-//! The protocol spoken to model engines.
+//! Client and messages of the protocol of model engines.
 //!
-//! An engine holds a range of layers of one model. A session is one request's
-//! state in that range. Its steps come in order of position; the engine batches
-//! the steps of all sessions continuously. This crate is the only one that knows
-//! the engine's paths and JSON shapes.
+//! An engine holds a range of layers of one model. A session is the state of one request in that
+//! range. The steps of a session come in order of position; the engine batches the steps of all
+//! sessions continuously. Only this crate knows the engine's paths and JSON formats.
 
 use std::time::Duration;
 
@@ -30,7 +29,7 @@
     pub incarnation: String,
 }
 
-/// Load as the engine reports it; it lags.
+/// Load as reported by the engine, with a delay.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Load {
     /// Sessions held.
@@ -39,18 +38,18 @@
     pub waiting: u32,
     /// Mean time of a batch step in microseconds.
     pub step_us: u64,
-    /// Age of this reading in milliseconds.
+    /// Age of this measurement in milliseconds.
     pub age_ms: u64,
 }
 
 /// Opens a session.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Session {
-    /// Chosen by the agent; unique for each request, attempt and range.
+    /// Id chosen by the agent; unique for each request, attempt and range.
     pub session: String,
     /// Higher is served first.
     pub priority: u8,
-    /// Text that identifies the request's content, for the engine's own faults and traces.
+    /// Text that identifies the request's content in the engine's own errors and traces.
     #[serde(default)]
     pub tag: String,
 }
@@ -60,7 +59,7 @@
 pub struct Step {
     /// Position of the first input.
     pub position: u32,
-    /// One hidden state for each position; token ids for the first range. Opaque to the router.
+    /// One hidden state for each position; for the first range, token ids. Opaque to the router.
     pub inputs: Vec<u64>,
 }
 
@@ -82,7 +81,7 @@
     pub outputs: Vec<u64>,
     /// Token sampled after the last position; only from the last range.
     pub token: Option<Token>,
-    /// Positions that came from the prefix cache.
+    /// Number of positions served from the prefix cache.
     #[serde(default)]
     pub cached: u32,
 }
@@ -111,7 +110,7 @@
     pub last: u32,
 }
 
-/// Text to token ids.
+/// Text to tokenize.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Text {
     /// The text.
@@ -121,29 +120,30 @@
 /// Token ids of a text.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tokens {
-    /// The ids, one a position.
+    /// The ids, one for each position.
     pub tokens: Vec<u64>,
 }
 
-/// A prefix that entered or left the engine's cache. Events come late and with gaps.
+/// A prefix that was added to the engine's cache or evicted from it. Events come late and with
+/// gaps.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
     /// Number of the event; a missing number is a gap.
     pub number: u64,
     /// Hash of the prefix.
     pub prefix: u64,
-    /// True when it entered, false when it was evicted.
+    /// True when the prefix was added, false when it was evicted.
     pub cached: bool,
 }
 
-/// Client of one engine.
+/// Client of an engine.
 #[derive(Debug, Clone)]
 pub struct Client {
     http: rest::Client,
 }
 
 impl Client {
-    /// A client for the engine at `base`, giving up on each call after `timeout`.
+    /// Returns a client for the engine at `base`, with a time-out for each call.
     ///
     /// ```
     /// engine::Client::new("http://127.0.0.1:9100", std::time::Duration::from_secs(5));
@@ -152,57 +152,59 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// What the engine holds.
+    /// Returns what the engine holds.
     pub async fn info(&self) -> Result<Info, rest::Error> {
         self.http.get("/v1/info").await
     }
 
-    /// The engine's own, lagging view of its load.
+    /// Returns the engine's own measurement of its load, which lags.
     pub async fn load(&self) -> Result<Load, rest::Error> {
         self.http.get("/v1/load").await
     }
 
-    /// Token ids of `text`.
+    /// Returns the token ids of `text`.
     pub async fn tokenize(&self, text: &str) -> Result<Tokens, rest::Error> {
         self.http.post("/v1/tokenize", &Text { text: text.to_string() }).await
     }
 
-    /// Opens a session. 429 when the engine is full, 409 when it exists.
+    /// Opens a session. Fails with 429 when the engine is full and 409 when the session exists.
     pub async fn open(&self, session: &Session) -> Result<(), rest::Error> {
         self.http.post("/v1/sessions", session).await
     }
 
-    /// Runs a step. 409 when the position is not the session's next, 404 when there is no session.
+    /// Runs a step. Fails with 409 when the position is not the session's next, and with 404 when
+    /// there is no such session.
     pub async fn step(&self, session: &str, step: &Step) -> Result<Output, rest::Error> {
         self.http.post(&format!("/v1/sessions/{session}/steps"), step).await
     }
 
-    /// Cancels a session and frees its state. 404 when there is none.
+    /// Cancels a session and frees its state. Fails with 404 when there is none.
     pub async fn cancel(&self, session: &str) -> Result<(), rest::Error> {
         self.http.json("DELETE", &format!("/v1/sessions/{session}"), &()).await
     }
 
-    /// Cancels all sessions, as a new agent does with what an old one left running.
+    /// Cancels all sessions, as an agent does when it starts.
     pub async fn cancel_all(&self) -> Result<(), rest::Error> {
         self.http.json("DELETE", "/v1/sessions", &()).await
     }
 
-    /// Exports a session's state.
+    /// Exports the state of a session.
     pub async fn export(&self, session: &str) -> Result<Kv, rest::Error> {
         self.http.get(&format!("/v1/sessions/{session}/kv")).await
     }
 
-    /// Imports a state into an open session that has run nothing yet.
+    /// Imports a state into an open session that has not run a step.
     pub async fn import(&self, session: &str, kv: &Kv) -> Result<(), rest::Error> {
         self.http.json("PUT", &format!("/v1/sessions/{session}/kv"), kv).await
     }
 
-    /// Orders the engine to load. 409 when the engine checks fencing numbers and this one is old.
+    /// Orders the engine to load a range. Fails with 409 when the engine checks fencing numbers
+    /// and this one is old.
     pub async fn order(&self, order: &Order) -> Result<(), rest::Error> {
         self.http.post("/v1/orders", order).await
     }
 
-    /// Cache events with a number of at least `from`.
+    /// Returns the cache events with a number of at least `from`.
     pub async fn events(&self, from: u64) -> Result<Vec<Event>, rest::Error> {
         self.http.get(&format!("/v1/events?from={from}")).await
     }
--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -1,8 +1,8 @@
-//! Time and bytes of the hot frames: one step and one output a token and range.
+//! Time and size of the frequent frames: one step and one output for each token and range.
 //!
-//! `cargo bench -p wire` prints, for one position and for a prompt of 512, the
-//! bytes of a frame and the nanoseconds of encoding and decoding it, side by side
-//! with the same message as serde would derive it.
+//! `cargo bench -p wire` prints, for one position and for a prompt of 512, the bytes of a frame
+//! and the nanoseconds of encoding and decoding it, beside those of the same message with derived
+//! serde implementations.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
--- a/crates/wire/src/codec.rs
+++ b/crates/wire/src/codec.rs
@@ -1,9 +1,9 @@
-//! The encoding of frames: a length, a format number, postcard.
+//! Encoding of frames: a length, a format number and the message in postcard.
 
 use derive_more::{Display, Error};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Number of the frame format. A peer with another one is refused.
+/// Number of the frame format. Frames of a peer with another format are refused.
 pub const FORMAT: u8 = 1;
 
 /// Longest frame in bytes.
@@ -12,10 +12,10 @@
 /// Why a frame could not be read or written.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// The peer speaks another format.
+    /// The peer uses another format.
     #[display("frame format {found}, this process speaks {FORMAT}")]
     Format {
-        /// What the peer sent.
+        /// Format number that the peer sent.
         found: u8,
     },
     /// The frame is longer than [`MAX_FRAME_BYTES`].
@@ -24,22 +24,22 @@
         /// Its length.
         length: usize,
     },
-    /// The bytes are no such message.
+    /// The bytes are not a message of the expected type.
     #[display("frame does not decode: {reason}")]
     Decode {
-        /// The decoder's own words.
+        /// Error text of the decoder.
         reason: String,
     },
-    /// Bytes stand after the message.
+    /// Bytes follow the message.
     #[display("{count} bytes after the end of the message")]
     Trailing {
-        /// How many.
+        /// Number of bytes.
         count: usize,
     },
     /// The stream ended or broke.
     #[display("stream broke: {reason}")]
     Stream {
-        /// The transport's own words.
+        /// Error text of the transport.
         reason: String,
     },
 }
@@ -64,7 +64,7 @@
     Ok(raw)
 }
 
-/// Decodes what follows the length. Another format and trailing bytes are errors.
+/// Decodes the bytes after the length. Another format and trailing bytes are errors.
 ///
 /// ```
 /// assert!(wire::codec::decode::<wire::frame::Command>(&[9, 0]).is_err());
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! The typed messages between the system's own processes.
+//! Typed messages between the system's own processes.
 
 use std::time::Duration;
 
@@ -13,19 +13,19 @@
 /// First frame of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Router to agent: the agent answers with a [`Frame::Report`] at once and then
-    /// at each change, at least once each report interval.
+    /// Router to agent: report the agent's state. Answers: a [`Frame::Report`] at once, at each
+    /// report interval, and between them at a change that the routers need.
     Watch(Watch),
     /// Router to agent: run a draft as its head. Answers: [`Frame::Accepted`] or
     /// [`Frame::Refused`]; then [`Frame::Token`]s; then [`Frame::Done`] or [`Frame::Refused`].
     Draft(Draft),
-    /// Router to agent: go on with a draft that the agent drives. Answers as for a draft.
+    /// Router to agent: resume a draft of which the agent is the head. Answers as for a draft.
     Attach(Attach),
-    /// Router to agent: the caller has gone. Answer: [`Frame::Ok`].
+    /// Router to agent: cancel a draft whose caller is gone. Answer: [`Frame::Ok`].
     Cancel(Cancel),
-    /// Head to stage: open a session. Answer: [`Frame::Opened`] or [`Frame::Refused`].
-    /// Then on the same stream [`Frame::Step`]s from the head, each answered by
-    /// [`Frame::Output`] or [`Frame::Refused`]. The end of the stream closes the session.
+    /// Head to stage: open a session. Answer: [`Frame::Opened`] or [`Frame::Refused`]. On the
+    /// same stream the head then sends [`Frame::Step`]s, each answered by [`Frame::Output`] or
+    /// [`Frame::Refused`]. The end of the stream closes the session.
     Open(Open),
     /// Router to agent: call the plain service. Answer: [`Frame::Reply`] or [`Frame::Refused`].
     Call(Call),
@@ -33,7 +33,7 @@
     Status,
     /// Anyone: the settings in force at the peer. Answer: [`Frame::Settings`].
     Settings,
-    /// Anyone: what the peer knows of a request, as JSON lines. Answer: [`Frame::Text`].
+    /// Anyone: the peer's trace of a request, as JSON lines. Answer: [`Frame::Text`].
     Explain(id::Request),
     /// Head to router: replicas of a range that can be used now. Answer: [`Frame::Places`].
     Replicas(Stage),
@@ -42,22 +42,22 @@
     Gaps(Option<Stage>),
 }
 
-/// Every other frame.
+/// Any later frame of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
     /// State of an agent.
     Report(Box<Report>),
-    /// The draft runs; it will be answered in full or its loss will be said.
+    /// The draft runs; its full answer or the report of its loss follows.
     Accepted(Accepted),
-    /// It was not run, or its outcome is not known, or it may not be asked.
+    /// The command was not run, or its outcome is unknown, or it is not allowed.
     Refused(Refusal),
     /// One generated token.
     Token(Token),
     /// The draft is complete.
     Done(Done),
-    /// Session open.
+    /// The session is open.
     Opened,
-    /// Run these positions.
+    /// Positions to run.
     Step(Step),
     /// What a step gave.
     Output(Output),
@@ -67,7 +67,7 @@
     Settings(Settings),
     /// Free text or JSON.
     Text(String),
-    /// Done, nothing to say.
+    /// Success without content.
     Ok,
     /// Replicas of a range, best first.
     Places(Vec<Place>),
@@ -75,26 +75,26 @@
     Gaps(Gaps),
 }
 
-/// Ranges of the settings by a router's view.
+/// Ranges of the settings that a router knows to have no replica.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Gaps {
-    /// Those that no usable agent holds, in the order of the settings.
+    /// Ranges that no usable agent holds, in the order of the settings.
     pub lost: Vec<Stage>,
-    /// Usable agents that hold the range asked about.
+    /// Number of usable agents that hold the queried range.
     pub replicas: u32,
 }
 
-/// Asks for reports.
+/// Subscribes to reports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Watch {
-    /// Who watches.
+    /// VM of the subscriber.
     pub vm: id::Vm,
 }
 
-/// What stands behind an agent.
+/// The backend server of an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Backend {
-    /// Nothing that can be used now.
+    /// None that can be used now.
     None,
     /// A range of layers of a model.
     Stage(Stage),
@@ -115,7 +115,7 @@
     pub last: u32,
 }
 
-/// State of an agent, piggybacked for the routers. A hint: the agent alone decides.
+/// State of an agent, for the routers. It is a hint: the agent alone decides what it admits.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The agent's VM.
@@ -124,41 +124,42 @@
     pub incarnation: id::Incarnation,
     /// Its data centre.
     pub data_centre: String,
-    /// What stands behind it.
+    /// Its backend server.
     pub backend: Backend,
-    /// Slots it has.
+    /// Number of slots.
     pub slots: u32,
-    /// Slots taken.
+    /// Number of slots taken.
     pub busy: u32,
     /// Smoothed time of one step or call in microseconds, measured by the agent; 0 when unknown.
     pub step_us: u64,
-    /// True when it takes no new work.
+    /// True when it accepts no new work.
     pub leaving: bool,
-    /// Fleet settings it applies.
+    /// Version of the fleet settings that it applies.
     pub version: id::Version,
-    /// Fingerprints refused everywhere because each crashed an engine twice, sorted.
+    /// Fingerprints that are refused everywhere, because each crashed an engine twice; sorted.
     pub quarantined: Vec<id::Fingerprint>,
-    /// Fingerprints that were running at one crash, sorted.
+    /// Fingerprints that were running at one crash; sorted.
     pub suspects: Vec<id::Fingerprint>,
 }
 
 /// A draft to run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Draft {
-    /// Its id, which names the head that gets this frame.
+    /// Id of the request, which contains the head that gets this frame.
     pub request: id::Request,
-    /// Whose it is.
+    /// Workspace of the caller.
     pub workspace: id::Workspace,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// The prompt as the caller wrote it.
+    /// The caller's prompt, unchanged.
     pub prompt: String,
-    /// Ids of tokens that the caller already has from an earlier head; the draft goes on after them.
+    /// Ids of the tokens that the caller already has from an earlier head; the draft continues
+    /// after them.
     pub delivered: Vec<u64>,
-    /// First attempt number the head uses. Each new head of a request starts
-    /// [`HEAD_STRIDE`] higher, so that a stage refuses what an older head still sends.
+    /// First attempt number of the head. Each new head of a request starts [`HEAD_STRIDE`]
+    /// higher, so that a stage refuses frames that an older head still sends.
     pub attempt: id::Attempt,
-    /// Tokens to generate at most, those delivered included.
+    /// Maximum number of generated tokens, including those delivered.
     pub max_tokens: u32,
     /// Higher is served first.
     pub priority: u8,
@@ -166,10 +167,10 @@
     pub deadline: Duration,
     /// Hash of model and prompt, for the quarantine of requests that crash engines.
     pub fingerprint: id::Fingerprint,
-    /// True when the router knows that it was running at a crash of an engine.
+    /// True when the router knows that the request was running at a crash of an engine.
     pub suspect: bool,
-    /// For each range of the model in order, agents to try in this order. The
-    /// first range starts at the head itself; its replicas here are the spares.
+    /// For each range of the model, in order, the agents to try, best first. The first range
+    /// starts at the head itself; its replicas listed here are the spares.
     pub chain: Vec<Hop>,
 }
 
@@ -191,30 +192,30 @@
     pub address: String,
 }
 
-/// Goes on with a running or lately finished draft.
+/// Resumes a running or recently finished draft.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Attach {
     /// Which one.
     pub request: id::Request,
-    /// Whose; another workspace's request is answered as not found.
+    /// Workspace of the caller; a request of another workspace is answered as not found.
     pub workspace: id::Workspace,
-    /// Generated tokens the caller has.
+    /// Number of generated tokens that the caller has.
     pub after: u32,
 }
 
-/// Gives up a draft.
+/// Cancels a draft.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Cancel {
     /// Which one.
     pub request: id::Request,
-    /// Whose.
+    /// Workspace of the caller.
     pub workspace: id::Workspace,
 }
 
-/// The draft was taken.
+/// The draft was accepted.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Accepted {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
 }
 
@@ -223,17 +224,17 @@
 pub struct Open {
     /// The request.
     pub request: id::Request,
-    /// Its attempt at this range; lower ones of the same request are fenced off.
+    /// Attempt at this range; lower ones of the same request are fenced off.
     pub attempt: id::Attempt,
-    /// The range the head expects here.
+    /// The range that the head expects at this stage.
     pub stage: Stage,
     /// Higher is served first.
     pub priority: u8,
     /// Hash of the request's content.
     pub fingerprint: id::Fingerprint,
-    /// Model and prompt in short, shown to operators when a request crashes engines.
+    /// Model and start of the prompt, shown to operators when a request crashes engines.
     pub tag: String,
-    /// True when it was running at a crash of an engine: it is run with nothing beside it.
+    /// True when the request was running at a crash of an engine: its next step runs alone.
     pub suspect: bool,
 }
 
@@ -253,7 +254,7 @@
     pub position: id::Position,
     /// One hidden state a position.
     pub outputs: Vec<u64>,
-    /// The sampled token, from the last range.
+    /// The sampled token; only from the last range.
     pub token: Option<Sample>,
 }
 
@@ -264,14 +265,14 @@
     pub id: u64,
     /// Its text.
     pub text: String,
-    /// True when the model ends here.
+    /// True when the model ends the answer with this token.
     pub end: bool,
 }
 
 /// One generated token on its way to the caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Token {
-    /// Number among the generated tokens, from 0.
+    /// Index among the generated tokens, from 0.
     pub index: u32,
     /// The token.
     pub sample: Sample,
@@ -280,32 +281,32 @@
 /// A finished draft.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Done {
-    /// Generated tokens in all.
+    /// Total number of generated tokens.
     pub tokens: u32,
-    /// Stage replacements it took.
+    /// Number of stage replacements.
     pub replaced: u32,
-    /// Layer runs repeated because a stage's state was lost.
+    /// Number of layer runs repeated because a stage's state was lost.
     pub repeated: u64,
 }
 
-/// What a route of a plain service promises.
+/// Class of a route of a plain service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
-    /// Changes nothing.
+    /// Changes no state.
     ReadOnly,
-    /// May be repeated without harm.
+    /// May run more than once without harm.
     Idempotent,
     /// Must run at most once for each key.
     NonIdempotent,
 }
 
-/// A call of a plain service.
+/// A call to a plain service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Call {
     /// Its id.
     pub request: id::Request,
-    /// Whose.
+    /// Workspace of the caller.
     pub workspace: id::Workspace,
     /// Name of the service in the settings.
     pub service: String,
@@ -313,13 +314,13 @@
     pub method: String,
     /// Path and query, without the service's prefix.
     pub path: String,
-    /// Header lines that are passed on.
+    /// Forwarded header lines.
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
     /// Idempotency key, for routes that are not idempotent.
     pub key: Option<String>,
-    /// Contract of the route.
+    /// Class of the route.
     pub class: Class,
     /// Time left until the caller's deadline.
     pub deadline: Duration,
@@ -336,15 +337,15 @@
     pub headers: Vec<(String, String)>,
     /// Body.
     pub body: Vec<u8>,
-    /// True when this is the kept answer of an earlier run of the same key.
+    /// True when this is the kept answer of an earlier run with the same key.
     pub replayed: bool,
 }
 
 /// Settings in force at a peer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Their version; 0 when the peer has none.
+    /// Version of the settings; 0 when the peer has none.
     pub version: id::Version,
-    /// Their text.
+    /// Text of the settings.
     pub text: String,
 }
--- a/crates/wire/src/hot.rs
+++ b/crates/wire/src/hot.rs
@@ -1,8 +1,8 @@
-//! Serde by hand for the frames that are sent once for each token and range.
+//! Hand-written serde implementations for the frames that are sent once for each token and range.
 //!
-//! A hidden state is spread over all 64 bits, so postcard's variable-length
-//! integers would take up to 10 bytes for it. Here a run of states is one byte
-//! string, 8 bytes each in little-endian order, copied in one go.
+//! A hidden state uses all 64 bits, so postcard's variable-length integers would take up to 10
+//! bytes for it. Here a list of states is one byte string, 8 bytes each in little-endian order,
+//! copied in one go.
 
 use std::fmt;
 
@@ -13,10 +13,10 @@
 use crate::frame::{Output, Sample, Step};
 use crate::id;
 
-/// Bytes of one state.
+/// Bytes of one hidden state.
 const WIDTH: usize = 8;
 
-/// A run of hidden states as one byte string.
+/// A list of hidden states, encoded as one byte string.
 struct States(Vec<u64>);
 
 impl Serialize for States {
@@ -30,7 +30,7 @@
     serializer.serialize_bytes(&raw)
 }
 
-/// Borrowed states, to encode without a copy of the list.
+/// Borrowed states, encoded without a copy of the list.
 struct Run<'a>(&'a [u64]);
 
 impl Serialize for Run<'_> {
--- a/crates/wire/src/id.rs
+++ b/crates/wire/src/id.rs
@@ -6,17 +6,17 @@
 /// Name of a workspace.
 pub type Workspace = String;
 
-/// Id of a caller's request: `VM.INCARNATION.UNIQUE`, where the first two name
-/// the agent that drives it, so that any router finds it without a shared store.
+/// Id of a caller's request: `VM.INCARNATION.UNIQUE`, where the first two parts identify the
+/// agent that is its head, so that any router finds the agent without a shared store.
 pub type Request = String;
 
-/// Changes with each start of a process.
+/// Number of a process start; each start of a process gets a new one.
 pub type Incarnation = u64;
 
-/// Counts the tries of a request at one place; a higher one fences off the lower ones.
+/// Number of an attempt to run a request at one place; a higher one fences off the lower ones.
 pub type Attempt = u32;
 
-/// Place of a token in a request, from the prompt's first on.
+/// Position of a token in a request, counted from the first token of the prompt.
 pub type Position = u32;
 
 /// Version of the fleet settings: the log offset of the accepted record plus one; 0 is none.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,8 @@
-//! Frames and links between the system's own processes.
+//! Frames and QUIC connections between the system's own processes.
 //!
-//! A process opens a QUIC connection to a peer, and on it one bidirectional
-//! stream for each exchange. The first frame of a stream is an [`frame::Command`];
-//! the answers are [`frame::Frame`]s. What each exchange looks like is written
-//! at the variants of [`frame::Command`].
+//! A process opens a QUIC connection to a peer, and on it one bidirectional stream for each
+//! exchange. The first frame of a stream is a [`frame::Command`], every later one a
+//! [`frame::Frame`]. The variants of [`frame::Command`] document the exchanges.
 
 pub mod codec;
 pub mod frame;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -9,34 +9,34 @@
 
 use crate::{codec, tls};
 
-/// Time a new connection may take.
+/// Time-out of a new connection.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why a link failed, with the step and the peer.
+/// Why a connection or stream failed, with the step and the peer.
 #[derive(Debug, Display, Error)]
 #[display("link step '{step}' with {peer}: {reason}")]
 pub struct Error {
-    /// What was being done.
+    /// Step that failed.
     pub step: &'static str,
-    /// With whom.
+    /// Name or address of the peer.
     pub peer: String,
-    /// What went wrong.
+    /// Error text.
     pub reason: String,
 }
 
-/// A stream of frames both ways.
+/// A bidirectional stream of frames.
 #[derive(Debug)]
 pub struct Stream {
-    /// Who stands at the other end.
+    /// Name or address of the peer.
     pub peer: String,
     tx: SendStream,
     rx: RecvStream,
 }
 
-/// An endpoint that accepts and opens connections on one UDP port.
+/// Returns an endpoint that accepts and opens connections on one UDP port.
 ///
-/// The bound port also admits one process at a time on a VM: a second agent
-/// beside the same backend server can't bind and does not start.
+/// The bound port also limits a VM to one process: a second agent beside the same backend server
+/// can't bind it and does not start.
 pub fn bind(address: SocketAddr, pair: &tls::Config) -> Result<quinn::Endpoint, Error> {
     let mut endpoint = quinn::Endpoint::server(pair.server.clone(), address)
         .map_err(|e| error("bind", address, e))?;
@@ -44,14 +44,14 @@
     Ok(endpoint)
 }
 
-/// An endpoint that only opens connections, for command-line tools.
+/// Returns an endpoint that only opens connections, for command-line tools.
 pub fn client(address: SocketAddr, pair: &tls::Config) -> Result<quinn::Endpoint, Error> {
     let mut endpoint = quinn::Endpoint::client(address).map_err(|e| error("bind", address, e))?;
     endpoint.set_default_client_config(pair.client.clone());
     Ok(endpoint)
 }
 
-/// Connects to the VM named `vm`, whose certificate has to carry that name.
+/// Connects to the VM named `vm`, whose certificate must carry that name.
 pub async fn connect(
     endpoint: &quinn::Endpoint,
     vm: &str,
@@ -77,7 +77,7 @@
     Ok(stream)
 }
 
-/// Takes the next stream that the peer opens. `None` when the connection has ended.
+/// Accepts the next stream that the peer opens. `None` when the connection has ended.
 pub async fn accept(connection: &Connection) -> Option<Stream> {
     let (tx, rx) = connection.accept_bi().await.ok()?;
     Some(Stream { peer: connection.remote_address().to_string(), tx, rx })
@@ -107,7 +107,7 @@
         codec::decode(&raw).map(Some).map_err(|e| error("decode", &self.peer, e))
     }
 
-    /// Reads one frame where the peer owes one.
+    /// Reads one frame; the end of the stream is an error.
     pub async fn expect<T: DeserializeOwned>(&mut self) -> Result<T, Error> {
         match self.next().await? {
             Some(message) => Ok(message),
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Ends this side; what was sent is still delivered.
+    /// Ends this side of the stream; frames already sent are still delivered.
     pub fn finish(&mut self) {
-        // Fails only when the stream is already closed, which is what is wanted.
+        // Fails only if the stream is already closed.
         let _ = self.tx.finish();
     }
 
-    /// Resolves when the peer no longer reads what is sent here.
+    /// Completes when the peer no longer reads this side of the stream.
     pub async fn stopped(&mut self) {
         let _ = self.tx.stopped().await;
     }
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -1,8 +1,7 @@
-//! Records of the log stream that says who loads a range that no engine holds.
+//! Records of the log stream that decides which agent loads a range without a replica.
 //!
-//! Each agent gives orders to the engine on its own VM only; the stream decides
-//! which agent does so for a gap. The offset of its claim is the fencing number
-//! of the order.
+//! Each agent sends orders only to the engine on its own VM; the stream decides which agent does
+//! so for a gap. The offset of its claim is the fencing number of the order.
 
 use std::time::Duration;
 
@@ -14,38 +13,38 @@
 /// Name of the stream.
 pub const STREAM: &str = "orders";
 
-/// Time in which nobody else may claim the same gap: longer than loading takes.
-/// It is counted by the log service's clock alone, so all readers agree.
+/// Time in which no other agent may claim the same gap; longer than loading takes. It is measured
+/// by the log service's clock only, so all readers agree.
 pub const CLAIM_VALIDITY: Duration = Duration::from_secs(10);
 
 /// One record, encoded as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Chosen by the agent, by which it finds its own record.
+    /// Id chosen by the agent, by which it finds its own record.
     pub id: String,
     /// The agent's VM.
     pub vm: id::Vm,
     /// The range that no engine holds.
     pub stage: Stage,
-    /// What the engine held before; `None` for one that held nothing.
+    /// Range that the engine held before; `None` if it held nothing.
     pub from: Option<Stage>,
 }
 
-/// A claim where it stands in the stream.
+/// A claim with its offset in the stream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LogRecord {
-    /// Its offset.
+    /// Offset of the record.
     pub offset: u64,
-    /// When the log service took it, in milliseconds since the Unix epoch.
+    /// Time at which the log service appended it, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// The claim.
     pub claim: Claim,
 }
 
-/// Claims that count, out of records in the order of the stream: the first for a
-/// gap, and of engines that hold the same range only one, until [`CLAIM_VALIDITY`] has
-/// passed. Readers of the same records agree. When older records have expired, they
-/// agree on all claims after the first pause of [`CLAIM_VALIDITY`] without any claim.
+/// Returns the claims that count, given the records in the order of the stream. Until
+/// [`CLAIM_VALIDITY`] has passed, only the first claim for a gap counts, and only one of the
+/// engines that hold the same range. Readers of the same records agree. If older records have
+/// expired, they agree on all claims after the first pause of [`CLAIM_VALIDITY`] without a claim.
 ///
 /// ```
 /// use wire::frame::Stage;
--- a/crates/wire/src/quarantine.rs
+++ b/crates/wire/src/quarantine.rs
@@ -1,7 +1,7 @@
-//! Records of the log stream that tells all daemons which requests crash engines.
+//! Records of the log stream that informs all daemons of requests that crash engines.
 //!
-//! Each record says what its author decided, not what it saw. So a record that
-//! stands twice, after a lost answer of an append, changes nothing the second time.
+//! Each record holds what its author decided, not what it observed. So a duplicate record, after
+//! an append whose answer was lost, changes nothing.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 /// Name of the stream.
 pub const STREAM: &str = "quarantine";
 
-/// How much later than the clearing of a suspect the record of its crash may
-/// come: another VM runs it again while the first one still appends.
+/// Longest time by which the record of a crash may follow the clearing of its suspect: another VM
+/// retries the suspect while the first one is still appending the record.
 pub const MAX_RECORD_DELAY: Duration = Duration::from_secs(5);
 
 /// A request that was running when an engine crashed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Running {
-    /// Hash of its content, as [`format_fingerprint`] writes it.
+    /// Hash of its content, as written by [`format_fingerprint`].
     pub fingerprint: String,
     /// Its id.
     pub request: id::Request,
@@ -37,9 +37,9 @@
         vm: id::Vm,
         /// Incarnation of the engine process that crashed.
         incarnation: String,
-        /// Each of these may be at fault: it runs only alone.
+        /// Requests that may be at fault; they run only alone.
         suspects: Vec<Running>,
-        /// Each of these ran at a second crash: it is refused everywhere.
+        /// Requests that were running at a second crash; they are refused everywhere.
         refused: Vec<Running>,
     },
     /// Suspects that ran alone without a crash.
@@ -49,18 +49,18 @@
         /// Their fingerprints.
         fingerprints: Vec<String>,
     },
-    /// An operator lets a request run again.
+    /// An operator ended the quarantine of a request.
     Lifted {
         /// Its fingerprint.
         fingerprint: String,
-        /// Who.
+        /// The operator.
         author: String,
-        /// Why.
+        /// The operator's reason.
         reason: String,
     },
 }
 
-/// A fingerprint as people read and type it: 16 hexadecimal digits.
+/// Formats a fingerprint for people: 16 hexadecimal digits.
 ///
 /// ```
 /// let text = wire::quarantine::format_fingerprint(255);
@@ -72,7 +72,7 @@
     format!("{fingerprint:016x}")
 }
 
-/// The fingerprint that [`format_fingerprint`] wrote; `None` for any other text.
+/// Parses a fingerprint written by [`format_fingerprint`]; `None` for any other text.
 pub fn parse_fingerprint(text: &str) -> Option<id::Fingerprint> {
     match text.len() {
         16 => u64::from_str_radix(text, 16).ok(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Fingerprints of a list of requests; texts that are none are left out.
+/// Returns the fingerprints of a list of requests, without those that do not parse.
 ///
 /// ```
 /// assert!(wire::quarantine::fingerprints(&[]).is_empty());
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -1,39 +1,39 @@
-//! Honest refusals: what is certain, why, where, and when to come back.
+//! Refusals: what is certain about the request, why and where it was refused, and when to retry.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// What is certain about a request that got no answer of its own.
+/// What is certain about a refused request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It was not run and will not be.
+    /// It was not run and will not run.
     #[display("not-run")]
     NotRun,
-    /// It may have been run; it is never run again by the system.
+    /// It may have run; the system never runs it again.
     #[display("unknown")]
     Unknown,
-    /// It may not be asked: the caller has to change it.
+    /// It is not allowed: the caller has to change it.
     #[display("refused")]
     Refused,
 }
 
-/// Why a refusal was made, for the HTTP status and for retries.
+/// Cause of a refusal, which determines the HTTP status and retries.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
     /// The request is malformed or breaks a limit.
     #[display("bad request")]
     Bad,
-    /// Nothing by that name, or another workspace's.
+    /// There is nothing by that name, or it belongs to another workspace.
     #[display("not found")]
     NotFound,
-    /// The key was used with another content.
+    /// The key was used with other content.
     #[display("conflict")]
     Conflict,
-    /// No room now.
+    /// No slot or queue place is free now.
     #[display("busy")]
     Busy,
     /// The VM is leaving.
@@ -51,10 +51,10 @@
     /// A newer attempt exists.
     #[display("fenced")]
     Fenced,
-    /// The caller has gone.
+    /// The caller is gone.
     #[display("cancelled")]
     Cancelled,
-    /// The connection or the peer was lost on the way.
+    /// The connection or the peer was lost during the request.
     #[display("lost")]
     Lost,
     /// The engine crashed while the request ran.
@@ -62,26 +62,26 @@
     Crashed,
 }
 
-/// An honest refusal.
+/// A refusal.
 #[derive(Debug, Clone, PartialEq, Display, Error, Serialize, Deserialize)]
 #[display("{outcome} ({cause}) at {step} by {peer}: {reason}")]
 pub struct Refusal {
     /// What is certain.
     pub outcome: Outcome,
-    /// Kind of reason.
+    /// Category of the reason.
     pub cause: Cause,
-    /// Step at which it arose.
+    /// Step that was refused.
     pub step: String,
-    /// Peer at which it arose.
+    /// Peer that refused or failed.
     pub peer: String,
-    /// A sentence for the caller.
+    /// The reason, as a sentence for the caller.
     pub reason: String,
-    /// When coming back makes sense.
+    /// Time after which a retry makes sense.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal of something that was not run.
+    /// Returns the refusal of a request that was not run.
     ///
     /// ```
     /// use wire::refusal::{Cause, Outcome, Refusal};
@@ -92,7 +92,7 @@
         Refusal::new(Outcome::NotRun, cause, step, peer, reason)
     }
 
-    /// A refusal where it is not known whether the request ran.
+    /// Returns the refusal of a request that may or may not have run.
     ///
     /// ```
     /// use wire::refusal::{Cause, Outcome, Refusal};
@@ -103,7 +103,7 @@
         Refusal::new(Outcome::Unknown, cause, step, peer, reason)
     }
 
-    /// A refusal of what the caller has to change.
+    /// Returns the refusal of a request that the caller has to change.
     ///
     /// ```
     /// use wire::refusal::{Cause, Outcome, Refusal};
@@ -114,7 +114,7 @@
         Refusal::new(Outcome::Refused, cause, step, peer, reason)
     }
 
-    /// The same with a time to come back.
+    /// Adds the time after which a retry makes sense.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/wire/src/tls.rs
+++ b/crates/wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS by the fleet's own certificate authority.
+//! Mutual TLS with the fleet's own certificate authority.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 use rustls::server::WebPkiClientVerifier;
 
-/// A connection without traffic for this long is dead. Chosen to be longer than
-/// a short freeze of a VM and shorter than what a caller waits.
+/// Time without traffic after which a connection is closed. Longer than a short freeze of a VM
+/// and shorter than a caller waits.
 pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Keeps an idle connection alive and finds a dead peer.
+/// Interval of packets that keep an idle connection open and detect an unreachable peer.
 pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(750);
 
-/// Bytes of unread pings that are held at most.
+/// Maximum number of bytes of buffered pings.
 const PING_BUFFER_BYTES: usize = 64;
 
 /// Why the certificates can't be used.
 #[derive(Debug, Display, Error)]
 #[display("certificate step '{step}', file {file}: {reason}")]
 pub struct Error {
-    /// What was being done.
+    /// Step that failed.
     pub step: &'static str,
-    /// With which file.
+    /// File of that step.
     pub file: String,
-    /// The library's own words.
+    /// Error text of the library.
     pub reason: String,
 }
 
-/// Configurations of both directions of a process.
+/// TLS configuration of a process, for both directions.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// For connections it accepts.
+    /// For connections that the process accepts.
     pub server: quinn::ServerConfig,
-    /// For connections it opens.
+    /// For connections that the process opens.
     pub client: quinn::ClientConfig,
 }
 
--- a/crates/wire/tests/frame.rs
+++ b/crates/wire/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Frames that a peer of another version, or a broken one, could send.
+//! Frames that a peer of another version, or a faulty one, could send.
 
 use proptest::prelude::*;
 use rstest::rstest;
@@ -15,7 +15,7 @@
 
 proptest! {
     #[test]
-    fn steps_and_outputs_come_out_as_they_went_in(
+    fn steps_and_outputs_decode_as_encoded(
         position: u32,
         states: Vec<u64>,
         word: Option<(u64, String, bool)>,
@@ -29,8 +29,8 @@
         prop_assert_eq!(decode::<Frame>(&raw[4..]).unwrap(), output);
     }
 
-    /// A broken peer sends any bytes at all. The process must not panic: every
-    /// request on it would be cut off.
+    /// A faulty peer sends arbitrary bytes. The process must not panic: every request on it would
+    /// be cut off.
     #[test]
     fn any_bytes_are_a_message_or_an_error(mut raw: Vec<u8>) {
         raw.insert(0, codec::FORMAT);
@@ -39,10 +39,10 @@
     }
 }
 
-/// A peer sends a byte string that is no whole number of hidden states. Half a
-/// state taken for a whole one would change the text a caller gets.
+/// A peer sends a byte string whose length is not a multiple of a hidden state's. A partial state
+/// decoded as a whole one would change the text that a caller gets.
 #[test]
-fn half_a_state_is_an_error() {
+fn a_partial_state_is_an_error() {
     let mut raw = encode(&Step { position: 0, inputs: vec![1] }).unwrap();
     raw.pop();
     let length = raw.len() - 1;
@@ -51,20 +51,20 @@
     assert!(decode::<Step>(&raw[4..=length]).is_err());
 }
 
-/// A process of another release sends frames that this one does not know. If
-/// they were half understood, a request would run with wrong content.
+/// A process of another release sends frames that this one does not know. If they decoded in
+/// part, a request would run with wrong content.
 #[rstest]
 #[case::other_format(vec![codec::FORMAT + 1, 0], |e: &Error| matches!(e, Error::Format { .. }))]
 #[case::empty(vec![], |e: &Error| matches!(e, Error::Decode { .. }))]
 #[case::no_such_message(vec![codec::FORMAT, 200], |e: &Error| matches!(e, Error::Decode { .. }))]
 #[case::cut_off(vec![codec::FORMAT], |e: &Error| matches!(e, Error::Decode { .. }))]
-fn a_strange_frame_is_an_error(#[case] raw: Vec<u8>, #[case] fits: fn(&Error) -> bool) {
+fn an_unknown_frame_is_an_error(#[case] raw: Vec<u8>, #[case] fits: fn(&Error) -> bool) {
     let error = decode::<Command>(&raw).unwrap_err();
     assert!(fits(&error), "{error}");
 }
 
-/// Bytes after the message mean that the peer put more in it than this process
-/// understands. To drop them silently would drop part of what a caller asked.
+/// Bytes after the message mean that the peer sent more than this process understands. Ignoring
+/// them would drop a part of a caller's request.
 #[test]
 fn bytes_after_the_message_are_an_error() {
     let mut raw = encode(&Command::Status).unwrap();
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between processes with and without certificates of the fleet.
+//! Connections between processes, with and without certificates of the fleet.
 
 use std::path::{Path, PathBuf};
 
@@ -74,20 +74,20 @@
     assert_eq!(stream.expect::<Frame>().await.unwrap(), Frame::Ok);
 }
 
-/// Somebody on the network without a certificate of the fleet tries to reach an
-/// agent, or to pass for one. Callers' prompts and orders would leak to it.
+/// A host on the network without a certificate of the fleet connects to an agent or impersonates
+/// one. It would get callers' prompts and could send orders.
 #[tokio::test]
-async fn a_peer_of_another_fleet_is_not() {
+async fn a_peer_of_another_fleet_is_refused() {
     let (fleet, other) = (Fleet::new("ours"), Fleet::new("theirs"));
     let (_server, address) = serve(&fleet.pair("gpu-1"));
     let stranger = link::client("127.0.0.1:0".parse().unwrap(), &other.pair("entry-1")).unwrap();
     assert!(link::connect(&stranger, "gpu-1", &address).await.is_err());
 }
 
-/// A VM's address is given to another VM while a router still has the old list.
-/// Work meant for the first must not reach the second.
+/// A VM's address is assigned to another VM while a router still has the old list. Requests for
+/// the first VM must not reach the second.
 #[tokio::test]
-async fn a_vm_under_another_name_is_not_taken_for_the_one_meant() {
+async fn a_vm_with_another_name_is_refused() {
     let fleet = Fleet::new("name");
     let (_server, address) = serve(&fleet.pair("gpu-2"));
     let client = link::client("127.0.0.1:0".parse().unwrap(), &fleet.pair("entry-1")).unwrap();
--- a/crates/wire/tests/order.rs
+++ b/crates/wire/tests/order.rs
@@ -1,18 +1,18 @@
-//! Who loads a lost range, judged by many readers of one stream.
+//! Decisions on who loads a lost range, by many readers of one stream.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use wire::frame::Stage;
 use wire::order::{CLAIM_VALIDITY, Claim, LogRecord, filter_valid};
 
-/// Seeds played.
+/// Number of seeds.
 const SEEDS: u64 = 2000;
 
 fn stage(i: u32) -> Stage {
     Stage { model: "draft".into(), version: 1, first: i * 4, last: i * 4 + 3 }
 }
 
-/// Claims of six agents for three gaps at random times, with one long pause.
+/// Returns claims of six agents for three gaps at random times, with one long pause.
 fn stream(rng: &mut Pcg64) -> Vec<LogRecord> {
     let mut time_ms = 0;
     let pause = rng.random_range(5..25);
@@ -30,9 +30,9 @@
     (0..30).map(placed).collect()
 }
 
-/// All spare engines see the gap at the same time and claim it. Two that loaded
-/// it would leave none for the next gap; two engines taken from one range would
-/// leave that range without a replica.
+/// All spare engines find a gap at the same time and claim it. If two loaded it, none would be
+/// left for the next gap; if two engines were taken from one range, that range would lose its
+/// replicas.
 #[test]
 fn one_claim_counts_for_each_gap_and_donor() {
     for seed in 0..SEEDS {
@@ -50,8 +50,8 @@
     }
 }
 
-/// A reader that starts late does not see expired claims. If it judged the later
-/// ones otherwise, two agents would both hold their claim for the first.
+/// A reader that starts late does not read expired claims. If it decided differently on later
+/// ones, two agents would both treat their claim as the first.
 #[test]
 fn readers_agree_after_a_pause() {
     for seed in 0..SEEDS {
