--- a/crates/agent/src/call.rs
+++ b/crates/agent/src/call.rs
@@ -70,7 +70,7 @@
     pub fn slot(&self) -> Result<Slot, Refusal> {
         self.slots.take().ok_or_else(|| {
             let why = format!("all {} slots are taken", self.slots.total());
-            Refusal::not_run(Cause::Busy, "call", &self.vm, why).after(BUSY_RETRY)
+            Refusal::not_run(Cause::Busy, "call", &self.vm, why).with_retry_after(BUSY_RETRY)
         })
     }
 
@@ -90,7 +90,7 @@
             Err(e) if e.unsent() => {
                 let why = format!("the service can't be reached: {e}");
                 let refusal = Refusal::not_run(Cause::Unavailable, "call", &self.vm, why);
-                Err(refusal.after(DOWN_RETRY))
+                Err(refusal.with_retry_after(DOWN_RETRY))
             }
             Err(e) => {
                 let why = format!("the service was asked and did not answer: {e}");
--- a/crates/agent/src/stage.rs
+++ b/crates/agent/src/stage.rs
@@ -178,7 +178,7 @@
         };
         let Some(slot) = slot else {
             let why = format!("all {} slots are taken", self.slots.total());
-            return Err(self.refuse(Cause::Busy, "open", why).after(BUSY_RETRY));
+            return Err(self.refuse(Cause::Busy, "open", why).with_retry_after(BUSY_RETRY));
         };
         // An engine that was ordered to load another range may run two ranges of one request in
         // succession. Each range has its own attempts.
@@ -211,7 +211,7 @@
                 _slot: slot,
             }),
             Err(e) if e.status() == Some(429) => {
-                Err(self.refuse(Cause::Busy, "open", e.to_string()).after(BUSY_RETRY))
+                Err(self.refuse(Cause::Busy, "open", e.to_string()).with_retry_after(BUSY_RETRY))
             }
             Err(e) => {
                 // The session may have been opened nevertheless. It would occupy an engine slot
--- a/crates/agent/src/write.rs
+++ b/crates/agent/src/write.rs
@@ -118,7 +118,7 @@
                 if changed.is_err() {
                     let why = "the write is in progress elsewhere and has not been answered yet";
                     let refusal = Refusal::unknown(Cause::Deadline, "write", &record.owner.0, why);
-                    return Err(refusal.after(LOG_RETRY_AFTER));
+                    return Err(refusal.with_retry_after(LOG_RETRY_AFTER));
                 }
             }
             None => {
@@ -276,7 +276,8 @@
     }
 
     fn not_run(&self, why: &str) -> Refusal {
-        Refusal::not_run(Cause::Unavailable, "write", &self.vm, why).after(LOG_RETRY_AFTER)
+        Refusal::not_run(Cause::Unavailable, "write", &self.vm, why)
+            .with_retry_after(LOG_RETRY_AFTER)
     }
 }
 
--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -323,7 +323,7 @@
     };
     let refusal = Refusal::not_run(cause, STEP, vm, refused.reason.to_string());
     match refused.retry_after {
-        Some(after) => refusal.after(after),
+        Some(after) => refusal.with_retry_after(after),
         None => refusal,
     }
 }
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -39,7 +39,7 @@
     if !force.caught_up {
         let why = "the settings have not been read yet";
         let refusal = Refusal::not_run(Cause::Unavailable, "authenticate", vm, why);
-        return Err((503, refusal.after(SETTINGS_RETRY)));
+        return Err((503, refusal.with_retry_after(SETTINGS_RETRY)));
     }
     match workspace(&force.fleet, req).cloned() {
         Some(workspace) => Ok(Caller { fleet: force.fleet, workspace }),
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -75,7 +75,7 @@
 pub fn unfinished(router: &Router) -> Refusal {
     let vm = &router.node.process.vm;
     let why = "the router stops before the answer is complete; ask another one";
-    Refusal::unknown(Cause::Leaving, "drain", vm, why).after(RETRY)
+    Refusal::unknown(Cause::Leaving, "drain", vm, why).with_retry_after(RETRY)
 }
 
 /// Ends each connection after its answer once the router stops, so that none is
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -114,7 +114,7 @@
     };
     if let End::Lost(why) = end {
         let refusal = Refusal::unknown(Cause::Lost, "attach", &follower.head.vm, why);
-        follower.refuse(refusal.after(Duration::from_secs(1))).await;
+        follower.refuse(refusal.with_retry_after(Duration::from_secs(1))).await;
     }
 }
 
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -198,7 +198,7 @@
     let refusal = maybe_run.unwrap_or(last);
     match refusal.retry_after {
         // The queue alone knows a request that will never fit, and says so by silence.
-        None if refusal.step != admission::STEP => refusal.after(BUSY_RETRY),
+        None if refusal.step != admission::STEP => refusal.with_retry_after(BUSY_RETRY),
         _ => refusal,
     }
 }
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -278,7 +278,7 @@
         let why = format!("{}; {stop}", failed.reason);
         let after =
             failed.retry_after.unwrap_or(refusal::MIN_RETRY_AFTER).max(refusal::MIN_RETRY_AFTER);
-        let refusal = Refusal { reason: why, ..failed }.after(after);
+        let refusal = Refusal { reason: why, ..failed }.with_retry_after(after);
         self.count(&refusal);
         let _ = entry.item.reply.try_send(Answer::Refused(refusal));
     }
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -50,12 +50,12 @@
 /// use wire::frame::Stage;
 /// use wire::order::{Claim, LogRecord, filter_valid};
 /// let stage = Stage { model: "m".into(), version: 1, first: 0, last: 3 };
-/// let placed = |offset, vm: &str| LogRecord {
+/// let record = |offset, vm: &str| LogRecord {
 ///     offset,
 ///     time_ms: 1000,
 ///     claim: Claim { id: vm.into(), vm: vm.into(), stage: stage.clone(), from: None },
 /// };
-/// let found = filter_valid(vec![placed(4, "a"), placed(5, "b")]);
+/// let found = filter_valid(vec![record(4, "a"), record(5, "b")]);
 /// assert_eq!(found.len(), 1);
 /// assert_eq!(found[0].offset, 4);
 /// ```
--- a/crates/wire/src/refusal.rs
+++ b/crates/wire/src/refusal.rs
@@ -119,10 +119,10 @@
     /// ```
     /// use std::time::Duration;
     /// use wire::refusal::{Cause, Refusal};
-    /// let r = Refusal::not_run(Cause::Busy, "open", "gpu-1", "full").after(Duration::from_secs(1));
+    /// let r = Refusal::not_run(Cause::Busy, "open", "gpu-1", "full").with_retry_after(Duration::from_secs(1));
     /// assert_eq!(r.retry_after, Some(Duration::from_secs(1)));
     /// ```
-    pub fn after(mut self, time: Duration) -> Refusal {
+    pub fn with_retry_after(mut self, time: Duration) -> Refusal {
         self.retry_after = Some(time);
         self
     }
--- a/crates/wire/tests/order.rs
+++ b/crates/wire/tests/order.rs
@@ -16,7 +16,7 @@
 fn stream(rng: &mut Pcg64) -> Vec<LogRecord> {
     let mut time_ms = 0;
     let pause = rng.random_range(5..25);
-    let placed = |offset: u64| {
+    let record = |offset: u64| {
         time_ms += rng.random_range(0..4000);
         if offset == pause {
             time_ms += CLAIM_VALIDITY.as_millis() as u64;
@@ -27,7 +27,7 @@
             Claim { id: offset.to_string(), vm, stage: stage(rng.random_range(0..3)), from };
         LogRecord { offset, time_ms, claim }
     };
-    (0..30).map(placed).collect()
+    (0..30).map(record).collect()
 }
 
 /// All spare engines find a gap at the same time and claim it. If two loaded it, none would be
