--- a/crates/agent/src/crash.rs
+++ b/crates/agent/src/crash.rs
@@ -1,10 +1,10 @@
-//! Crashes of the engine: which requests ran, and running suspects alone.
+//! Tracks engine crashes and runs suspected requests alone.
 //!
-//! An engine batches, so at a crash any request with a step in progress may be at
-//! fault. Each of them becomes a suspect, and the step that was in progress is run
-//! again with no other step beside it. Either it passes, then the request is
-//! cleared, or the engine crashes again, then it was at fault and is refused
-//! everywhere. Only that one step runs alone, so the others wait for milliseconds.
+//! An engine runs steps in batches, so any request with a step in progress may have caused a
+//! crash. Each of them becomes a suspect, and the interrupted step is retried with no other step
+//! beside it. If the retry succeeds, the request is cleared; if the engine crashes again, the
+//! request is at fault and is refused everywhere. Only this one step runs alone, so other
+//! requests wait for milliseconds.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -13,16 +13,16 @@
 use policy::quarantine::Verdict;
 use tokio::sync::{RwLock, RwLockReadGuard, RwLockWriteGuard};
 use wire::id::Fingerprint;
-use wire::quarantine::{Running, show};
+use wire::quarantine::{Running, format_fingerprint};
 use wire::refusal::{Cause, Refusal};
 
-/// Engine processes remembered as crashed.
-const REMEMBERED: usize = 64;
+/// Crashed engine processes that are remembered, so that each crash is reported once.
+const MAX_REPORTED_CRASHES: usize = 64;
 
-/// Time for all daemons to hear of a quarantine before its caller does: the
-/// caller may send the request again at once, through a router that does not
-/// know yet, and take down one more engine.
-pub const SPREAD: Duration = Duration::from_millis(200);
+/// Delay before the caller learns that its request is quarantined, in which the news reaches all
+/// daemons. A caller may retry at once through a router that has not received it, and the request
+/// would crash one more engine.
+pub const PROPAGATION_DELAY: Duration = Duration::from_millis(200);
 
 /// A step in progress.
 #[derive(Debug, Clone)]
@@ -30,61 +30,61 @@
     number: u64,
     incarnation: String,
     running: Running,
-    /// True once it was named as running at a crash.
-    named: bool,
+    /// True if the engine crashed while the step was in progress.
+    in_crash: bool,
 }
 
 #[derive(Debug, Default)]
 struct State {
     count: u64,
     steps: Vec<Step>,
-    /// Incarnations of engines whose crash has been told, oldest first.
-    told: Vec<String>,
+    /// Incarnations of engines whose crash has been reported, oldest first.
+    reported: Vec<String>,
 }
 
-/// Steps in progress at the engine, and its crashes.
+/// Tracks the steps in progress at the engine and reports its crashes.
 #[derive(Debug, Default)]
-pub struct Watch {
+pub struct Monitor {
     state: Mutex<State>,
-    /// Held for reading by every step, for writing by a step that runs alone.
-    alone: RwLock<()>,
+    /// Read-locked by every step, write-locked by a step that runs alone.
+    exclusive: RwLock<()>,
 }
 
-/// A step in progress until this is dropped.
+/// Marks a step as in progress until it is dropped.
 #[derive(Debug)]
-pub struct Entry<'a> {
-    watch: &'a Watch,
+pub struct StepGuard<'a> {
+    monitor: &'a Monitor,
     number: u64,
 }
 
-/// The right to run a step, with others beside it or alone.
+/// Permission to run a step.
 #[derive(Debug)]
-pub enum Right<'a> {
-    /// Others may run too.
-    Beside(RwLockReadGuard<'a, ()>),
-    /// Nothing else runs.
-    Alone(RwLockWriteGuard<'a, ()>),
+pub enum Permit<'a> {
+    /// Other steps may run at the same time.
+    Shared(RwLockReadGuard<'a, ()>),
+    /// No other step runs.
+    Exclusive(RwLockWriteGuard<'a, ()>),
 }
 
-impl Watch {
+impl Monitor {
     /// Waits until a step may run.
     ///
     /// ```
     /// # tokio::runtime::Runtime::new().unwrap().block_on(async {
-    /// use agent::crash::{Right, Watch};
-    /// let watch = Watch::default();
-    /// assert!(matches!(watch.right(true).await, Right::Alone(_)));
+    /// use agent::crash::{Monitor, Permit};
+    /// let monitor = Monitor::default();
+    /// assert!(matches!(monitor.acquire(true).await, Permit::Exclusive(_)));
     /// # });
     /// ```
-    pub async fn right(&self, alone: bool) -> Right<'_> {
-        match alone {
-            true => Right::Alone(self.alone.write().await),
-            false => Right::Beside(self.alone.read().await),
+    pub async fn acquire(&self, exclusive: bool) -> Permit<'_> {
+        match exclusive {
+            true => Permit::Exclusive(self.exclusive.write().await),
+            false => Permit::Shared(self.exclusive.read().await),
         }
     }
 
-    /// Notes that a step goes to the engine.
-    pub fn enter(&self, incarnation: &str, running: Running) -> Entry<'_> {
+    /// Records that a step is sent to the engine.
+    pub fn begin_step(&self, incarnation: &str, running: Running) -> StepGuard<'_> {
         let mut state = self.state.lock().expect("no panic while held");
         state.count += 1;
         let number = state.count;
@@ -92,63 +92,63 @@
             number,
             incarnation: incarnation.to_string(),
             running,
-            named: false,
+            in_crash: false,
         });
-        Entry { watch: self, number }
+        StepGuard { monitor: self, number }
     }
 
-    /// Tells the fleet of the crash of an engine process, once for each.
-    pub fn crashed(&self, node: &Node, incarnation: &str) {
+    /// Reports the crash of an engine process to the fleet, once for each process.
+    pub fn report_crash(&self, node: &Node, incarnation: &str) {
         let running = {
             let mut state = self.state.lock().expect("no panic while held");
-            if state.told.iter().any(|i| i == incarnation) {
+            if state.reported.iter().any(|i| i == incarnation) {
                 return;
             }
-            if state.told.len() == REMEMBERED {
-                state.told.remove(0);
+            if state.reported.len() == MAX_REPORTED_CRASHES {
+                state.reported.remove(0);
             }
-            state.told.push(incarnation.to_string());
+            state.reported.push(incarnation.to_string());
             let ran = state.steps.iter_mut().filter(|s| s.incarnation == incarnation);
-            let name = |step: &mut Step| {
-                step.named = true;
+            let mark = |step: &mut Step| {
+                step.in_crash = true;
                 step.running.clone()
             };
-            ran.map(name).collect()
+            ran.map(mark).collect()
         };
         node.metrics.engine_crashes.add(1, &[]);
         node.quarantine.record_crash(incarnation, running);
     }
 }
 
-impl Entry<'_> {
-    /// True when the engine crashed while the step was in progress. What was
-    /// begun later never reached that engine, and its loss proves nothing.
-    pub fn named(&self) -> bool {
-        let state = self.watch.state.lock().expect("no panic while held");
-        state.steps.iter().any(|s| s.number == self.number && s.named)
+impl StepGuard<'_> {
+    /// Returns true if the engine crashed while the step was in progress. A step that began later
+    /// never reached that engine process, so its failure proves nothing.
+    pub fn in_crash(&self) -> bool {
+        let state = self.monitor.state.lock().expect("no panic while held");
+        state.steps.iter().any(|s| s.number == self.number && s.in_crash)
     }
 }
 
-impl Drop for Entry<'_> {
+impl Drop for StepGuard<'_> {
     fn drop(&mut self) {
-        let mut state = self.watch.state.lock().expect("no panic while held");
+        let mut state = self.monitor.state.lock().expect("no panic while held");
         state.steps.retain(|s| s.number != self.number);
     }
 }
 
-/// What to answer for a step that was in progress at a crash.
-pub async fn verdict(node: &Node, fingerprint: Fingerprint) -> Refusal {
+/// Returns the refusal for a step that was in progress at a crash.
+pub async fn step_refusal(node: &Node, fingerprint: Fingerprint) -> Refusal {
     let vm = &node.process.vm;
     match node.quarantine.verdict(fingerprint) {
         Verdict::Refused { left } => {
-            tokio::time::sleep(SPREAD).await;
+            tokio::time::sleep(PROPAGATION_DELAY).await;
             refusal(vm, "step", left)
         }
         _ => Refusal::unknown(Cause::Crashed, "step", vm, "the engine crashed while it ran"),
     }
 }
 
-/// The refusal of a request in quarantine.
+/// Returns the refusal for a request in quarantine.
 pub fn refusal(vm: &str, step: &str, left: Duration) -> Refusal {
     let why = format!(
         "it crashed two engines and is refused everywhere for {} s, or until an operator lifts it",
@@ -157,7 +157,11 @@
     Refusal::refused(Cause::Quarantined, step, vm, why)
 }
 
-/// How a request is named in the records.
+/// Identifies a request in the records of the quarantine.
 pub fn running(fingerprint: Fingerprint, request: &str, tag: &str) -> Running {
-    Running { fingerprint: show(fingerprint), request: request.into(), tag: tag.into() }
+    Running {
+        fingerprint: format_fingerprint(fingerprint),
+        request: request.into(),
+        tag: tag.into(),
+    }
 }
--- a/crates/agent/src/draft.rs
+++ b/crates/agent/src/draft.rs
@@ -1,7 +1,7 @@
 //! Drafts that this agent drives as their head.
 //!
-//! A draft runs in a task of its own. The router's stream only follows it, so
-//! that the draft outlives the router and the caller can go on through another.
+//! A draft runs in its own task, and the router's stream only follows it. So the draft survives
+//! the loss of the router, and the caller can resume it through another one.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -9,45 +9,45 @@
 use policy::quarantine::Verdict;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use wire::frame::{Accepted, Attach, Cancel, Done, Draft, Tell, Token, Word};
+use wire::frame::{Accepted, Attach, Cancel, Done, Draft, Frame, Sample, Token};
 use wire::id;
 use wire::link::Stream;
 use wire::refusal::{Cause, Refusal};
 
-use crate::chain::{Chain, Terms};
+use crate::chain::{Chain, Params};
 use crate::{Agent, crash};
 
-/// A draft that nobody has followed for this long is given up: its caller has
-/// gone together with its router. Long enough for a caller to notice a broken
-/// connection and come back through the balancer.
-const ORPHAN: Duration = Duration::from_secs(15);
+/// Time without a follower after which a draft is cancelled: its caller is gone, and so is the
+/// router. Long enough for a caller to notice a broken connection and reconnect through the load
+/// balancer.
+const ORPHAN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How often followers are counted.
-const LOOK: Duration = Duration::from_millis(500);
+/// Interval at which the followers of a draft are counted.
+const FOLLOWER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Characters of the prompt shown to operators.
-const TAG_LENGTH: usize = 60;
+/// Characters of the prompt that are shown to operators.
+const MAX_TAG_CHARS: usize = 60;
 
-/// How far a draft has come.
+/// Tokens generated so far, and the outcome once the draft has ended.
 #[derive(Debug, Default, Clone)]
 struct Progress {
-    words: Vec<Word>,
+    samples: Vec<Sample>,
     end: Option<Result<Done, Refusal>>,
 }
 
-/// A draft that runs or has ended lately.
+/// A draft that is running or has recently ended.
 #[derive(Debug)]
 pub struct Run {
     request: id::Request,
     workspace: id::Workspace,
     prompt_tokens: u32,
-    /// Generated tokens that the caller had before this head took over.
+    /// Number of generated tokens that the caller had before this head took over.
     offset: u32,
     progress: watch::Sender<Progress>,
     cancelled: watch::Sender<bool>,
 }
 
-/// The drafts of this agent.
+/// Drafts of which this agent is the head.
 #[derive(Debug, Default)]
 pub struct Table {
     /// Sorted by request id.
@@ -55,13 +55,13 @@
 }
 
 impl Table {
-    /// Drafts in progress.
+    /// Returns the number of drafts in progress.
     pub fn running(&self) -> usize {
         let runs = self.runs.lock().expect("no panic while held");
         runs.iter().filter(|r| r.progress.borrow().end.is_none()).count()
     }
 
-    /// Puts a run in; returns the one of the same id that was there before.
+    /// Inserts a run and returns the previous one with the same id, if any.
     fn replace(&self, run: Arc<Run>) -> Option<Arc<Run>> {
         let mut runs = self.runs.lock().expect("no panic while held");
         match runs.binary_search_by(|r| r.request.cmp(&run.request)) {
@@ -77,7 +77,7 @@
         self.runs.lock().expect("no panic while held").retain(|r| !Arc::ptr_eq(r, run));
     }
 
-    /// The draft, if it is of that workspace.
+    /// Returns the draft, if it belongs to `workspace`.
     fn find(&self, request: &str, workspace: &str) -> Option<Arc<Run>> {
         let runs = self.runs.lock().expect("no panic while held");
         let i = runs.binary_search_by(|r| r.request.as_str().cmp(request)).ok()?;
@@ -85,43 +85,43 @@
     }
 }
 
-/// Takes a draft as its head and follows it on the router's stream.
+/// Starts a draft with this agent as its head and sends its tokens on the router's stream.
 pub async fn run(agent: Arc<Agent>, draft: Draft, mut stream: Stream) {
     match begin(&agent, draft).await {
         Ok(run) => {
             let accepted = Accepted { prompt_tokens: run.prompt_tokens };
-            if stream.send(&Tell::Accepted(accepted)).await.is_ok() {
+            if stream.send(&Frame::Accepted(accepted)).await.is_ok() {
                 follow(&run, run.offset, stream).await;
             }
         }
         Err(refusal) => {
-            let _ = stream.send(&Tell::Refused(refusal)).await;
+            let _ = stream.send(&Frame::Refused(refusal)).await;
             stream.finish();
         }
     }
 }
 
-/// Follows a draft for a caller that has `after` tokens already.
-pub async fn attach(agent: Arc<Agent>, ask: Attach, mut stream: Stream) {
+/// Sends the tokens of a draft to a caller that already has the first `after` of them.
+pub async fn attach(agent: Arc<Agent>, command: Attach, mut stream: Stream) {
     let vm = &agent.node.process.vm;
-    let found = agent.drafts.find(&ask.request, &ask.workspace);
+    let found = agent.drafts.find(&command.request, &command.workspace);
     let sent = match found {
-        Some(run) if ask.after < run.offset => {
+        Some(run) if command.after < run.offset => {
             let why = format!("tokens before {} are kept by nobody", run.offset);
             let refusal = Refusal::refused(Cause::NotFound, "attach", vm, why);
-            stream.send(&Tell::Refused(refusal)).await
+            stream.send(&Frame::Refused(refusal)).await
         }
         Some(run) => {
             let accepted = Accepted { prompt_tokens: run.prompt_tokens };
-            if stream.send(&Tell::Accepted(accepted)).await.is_ok() {
-                follow(&run, ask.after, stream).await;
+            if stream.send(&Frame::Accepted(accepted)).await.is_ok() {
+                follow(&run, command.after, stream).await;
             }
             return;
         }
         None => {
             let why = "no such request is running or has ended lately";
             let refusal = Refusal::refused(Cause::NotFound, "attach", vm, why);
-            stream.send(&Tell::Refused(refusal)).await
+            stream.send(&Frame::Refused(refusal)).await
         }
     };
     match sent {
@@ -130,17 +130,17 @@
     }
 }
 
-/// Gives up a draft whose caller has gone.
-pub fn cancel(agent: &Agent, ask: &Cancel) {
-    if let Some(run) = agent.drafts.find(&ask.request, &ask.workspace) {
-        agent.node.trace.add(&ask.request, "cancel", "the caller has gone");
+/// Cancels a draft whose caller is gone.
+pub fn cancel(agent: &Agent, command: &Cancel) {
+    if let Some(run) = agent.drafts.find(&command.request, &command.workspace) {
+        agent.node.trace.add(&command.request, "cancel", "the caller has gone");
         run.cancelled.send_replace(true);
     }
 }
 
 async fn begin(agent: &Arc<Agent>, draft: Draft) -> Result<Arc<Run>, Refusal> {
     let vm = &agent.node.process.vm;
-    if agent.leaving() {
+    if agent.is_leaving() {
         let why = "the VM is leaving";
         return Err(Refusal::not_run(Cause::Leaving, "accept", vm, why));
     }
@@ -155,7 +155,7 @@
     inputs.extend(&draft.delivered);
 
     let chain =
-        Chain::open(agent.clone(), terms(agent, &draft), draft.chain.clone(), draft.attempt)
+        Chain::open(agent.clone(), params(agent, &draft), draft.chain.clone(), draft.attempt)
             .await?;
     let run = Arc::new(Run {
         request: draft.request.clone(),
@@ -166,8 +166,8 @@
         cancelled: watch::Sender::new(false),
     });
     if let Some(old) = agent.drafts.replace(run.clone()) {
-        // The router took this head for lost and came back to it: the first run
-        // would go on beside the new one, and a caller could be given either.
+        // The router treated this head as lost and then chose it again. The first run would
+        // continue beside the new one, and the caller could receive the tokens of either.
         old.cancelled.send_replace(true);
     }
     agent.node.trace.add(&draft.request, "accept", format!("accepted as head by {vm}"));
@@ -175,26 +175,26 @@
     Ok(run)
 }
 
-fn terms(agent: &Agent, draft: &Draft) -> Terms {
-    let force = agent.node.settings.borrow();
-    Terms {
+fn params(agent: &Agent, draft: &Draft) -> Params {
+    let settings = agent.node.settings.borrow();
+    Params {
         request: draft.request.clone(),
         priority: draft.priority,
         fingerprint: draft.fingerprint,
         suspect: draft.suspect,
-        tag: draft.prompt.chars().take(TAG_LENGTH).collect(),
-        step_timeout: force.fleet.defaults.step_timeout,
+        tag: draft.prompt.chars().take(MAX_TAG_CHARS).collect(),
+        step_timeout: settings.fleet.defaults.step_timeout,
         deadline: Instant::now() + draft.deadline,
     }
 }
 
-/// Runs the draft to its end, then keeps it for a while for callers that come back.
+/// Runs the draft to its end, then keeps it for a while for callers that reconnect.
 async fn drive(agent: Arc<Agent>, run: Arc<Run>, mut chain: Chain, inputs: Vec<u64>, draft: Draft) {
     let mut cancelled = run.cancelled.subscribe();
     let generated = tokio::select! {
         end = generate(&run, &mut chain, inputs, draft.max_tokens) => end,
-        _ = cancelled.wait_for(|c| *c) => Err(given_up(&agent, "the caller cancelled it")),
-        () = orphaned(&run) => Err(given_up(&agent, "its caller has gone")),
+        _ = cancelled.wait_for(|c| *c) => Err(cancelled_refusal(&agent, "the caller cancelled it")),
+        () = wait_until_orphaned(&run) => Err(cancelled_refusal(&agent, "its caller has gone")),
     };
     let end =
         generated.map(|tokens| Done { tokens, replaced: chain.replaced, repeated: chain.repeated });
@@ -205,7 +205,7 @@
         Err(refusal) => refusal.to_string(),
     };
     agent.node.trace.add(&run.request, "end", text);
-    // Frees the slots of all stages before the router hears of the end.
+    // Frees the slots of all stages before the router receives the end.
     drop(chain);
     run.progress.send_modify(|p| p.end = Some(end));
 
@@ -222,11 +222,11 @@
 ) -> Result<u32, Refusal> {
     let mut count = run.offset;
     while count < max_tokens {
-        let word = chain.run(&inputs).await?;
-        inputs = vec![word.id];
+        let sample = chain.run(&inputs).await?;
+        inputs = vec![sample.id];
         count += 1;
-        let end = word.end;
-        run.progress.send_modify(|p| p.words.push(word));
+        let end = sample.end;
+        run.progress.send_modify(|p| p.samples.push(sample));
         if end {
             break;
         }
@@ -234,46 +234,46 @@
     Ok(count)
 }
 
-/// Resolves when nobody has followed the draft for [`ORPHAN`].
-async fn orphaned(run: &Run) {
+/// Completes when nobody has followed the draft for [`ORPHAN_TIMEOUT`].
+async fn wait_until_orphaned(run: &Run) {
     let mut since = Instant::now();
     loop {
         // `drive` itself does not subscribe to the progress.
         if run.progress.receiver_count() > 0 {
             since = Instant::now();
         }
-        if since.elapsed() > ORPHAN {
+        if since.elapsed() > ORPHAN_TIMEOUT {
             return;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(FOLLOWER_CHECK_INTERVAL).await;
     }
 }
 
-fn given_up(agent: &Agent, why: &str) -> Refusal {
+fn cancelled_refusal(agent: &Agent, why: &str) -> Refusal {
     Refusal::unknown(Cause::Cancelled, "generate", &agent.node.process.vm, why)
 }
 
-/// Sends the tokens from number `after` on as they come, then the end.
+/// Sends the tokens from index `after` on as they are generated, then the outcome.
 async fn follow(run: &Run, after: u32, mut stream: Stream) {
     let mut progress = run.progress.subscribe();
     let mut sent = (after - run.offset) as usize;
     loop {
-        let (news, end) = {
+        let (new, end) = {
             let now = progress.borrow_and_update();
-            (now.words.get(sent..).unwrap_or_default().to_vec(), now.end.clone())
+            (now.samples.get(sent..).unwrap_or_default().to_vec(), now.end.clone())
         };
-        for word in news {
+        for sample in new {
             let index = run.offset + sent as u32;
-            if stream.send(&Tell::Token(Token { index, word })).await.is_err() {
+            if stream.send(&Frame::Token(Token { index, sample })).await.is_err() {
                 return;
             }
             sent += 1;
         }
         let last = match end {
-            Some(Ok(done)) => Tell::Done(done),
-            Some(Err(refusal)) => Tell::Refused(refusal),
+            Some(Ok(done)) => Frame::Done(done),
+            Some(Err(refusal)) => Frame::Refused(refusal),
             None => {
-                // Also ends when the router has gone: nobody reads the stream.
+                // Also returns when the router no longer reads the stream.
                 tokio::select! {
                     _ = progress.changed() => continue,
                     () = stream.stopped() => return,
--- a/crates/agent/src/fence.rs
+++ b/crates/agent/src/fence.rs
@@ -1,35 +1,35 @@
-//! The highest attempt seen of each request, so that older ones are refused.
+//! Records the highest attempt of each request, so that lower ones are refused.
 
 use std::time::Instant;
 
 use wire::id;
 
-/// Highest attempts remembered for requests whose session has ended here. A
-/// frozen head that thaws after this many newer requests could open an old
-/// attempt again; its output would still be used by nobody.
-pub const REMEMBERED: usize = 20_000;
+/// Maximum number of recorded attempts. Above it the oldest ended sessions are evicted. A frozen
+/// head that resumes after this many newer requests could open an old attempt again; nobody would
+/// use its output.
+pub const MAX_ENTRIES: usize = 20_000;
 
-/// Highest attempt seen of a request at a range.
+/// Highest attempt of a request at a range.
 #[derive(Debug, Clone)]
-struct Seen {
+struct Entry {
     key: String,
     attempt: id::Attempt,
     ended: Option<Instant>,
 }
 
-/// All highest attempts.
+/// The highest attempt of each request.
 #[derive(Debug, Clone, Default)]
 pub struct Fence {
     /// Sorted by key.
-    seen: Vec<Seen>,
+    entries: Vec<Entry>,
 }
 
 impl Fence {
-    /// Notes an attempt as the newest; an error with the newest one when it is older.
+    /// Records an attempt. Returns the highest one as an error if it is higher than `attempt`.
     ///
-    /// Without it a head that was frozen and thaws would go on running a request
-    /// that another head has taken over: its layers would run twice for a token,
-    /// and the engine's books would show two sessions side by side.
+    /// Without this check, a head that was frozen and resumes would continue a request that
+    /// another head has taken over: layers would run twice for a token, and the engine would
+    /// record two sessions of the request side by side.
     ///
     /// ```
     /// let mut fence = agent::fence::Fence::default();
@@ -37,46 +37,46 @@
     /// assert_eq!(fence.admit("a", 1), Err(2));
     /// ```
     pub fn admit(&mut self, key: &str, attempt: id::Attempt) -> Result<(), id::Attempt> {
-        match self.at(key) {
-            Ok(i) if self.seen[i].attempt > attempt => return Err(self.seen[i].attempt),
+        match self.position(key) {
+            Ok(i) if self.entries[i].attempt > attempt => return Err(self.entries[i].attempt),
             Ok(i) => {
-                self.seen[i].attempt = attempt;
-                self.seen[i].ended = None;
+                self.entries[i].attempt = attempt;
+                self.entries[i].ended = None;
             }
             Err(_) => {
-                self.forget_old();
-                let at = self.seen.partition_point(|s| s.key.as_str() < key);
-                self.seen.insert(at, Seen { key: key.to_string(), attempt, ended: None });
+                self.evict_ended();
+                let at = self.entries.partition_point(|s| s.key.as_str() < key);
+                self.entries.insert(at, Entry { key: key.to_string(), attempt, ended: None });
             }
         }
         Ok(())
     }
 
-    /// The highest attempt seen; 0 when there was none.
+    /// Returns the highest attempt seen, or 0 if there was none.
     pub fn newest(&self, key: &str) -> id::Attempt {
-        self.at(key).map_or(0, |i| self.seen[i].attempt)
+        self.position(key).map_or(0, |i| self.entries[i].attempt)
     }
 
-    /// A session has ended at `now`; its attempt may be forgotten some time later.
+    /// Records that a session ended at `now`. Its attempt may be evicted later.
     pub fn ended(&mut self, key: &str, now: Instant) {
-        if let Ok(i) = self.at(key) {
-            self.seen[i].ended = Some(now);
+        if let Ok(i) = self.position(key) {
+            self.entries[i].ended = Some(now);
         }
     }
 
-    fn at(&self, key: &str) -> Result<usize, usize> {
-        self.seen.binary_search_by(|s| s.key.as_str().cmp(key))
+    fn position(&self, key: &str) -> Result<usize, usize> {
+        self.entries.binary_search_by(|s| s.key.as_str().cmp(key))
     }
 
-    /// Makes room by forgetting the sessions that ended first.
-    fn forget_old(&mut self) {
-        if self.seen.len() < REMEMBERED {
+    /// Evicts the older half of the ended sessions when the table is full.
+    fn evict_ended(&mut self) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let mut times: Vec<Instant> = self.seen.iter().filter_map(|s| s.ended).collect();
+        let mut times: Vec<Instant> = self.entries.iter().filter_map(|s| s.ended).collect();
         times.sort();
         if let Some(&limit) = times.get(times.len() / 2) {
-            self.seen.retain(|s| s.ended.is_none_or(|t| t > limit));
+            self.entries.retain(|s| s.ended.is_none_or(|t| t > limit));
         }
     }
 }
--- a/crates/ctl/src/cmd/explain.rs
+++ b/crates/ctl/src/cmd/explain.rs
@@ -2,7 +2,7 @@
 
 use cloud::vm::{Entry, Role};
 use serde_json::{Map, Value};
-use wire::frame::Ask;
+use wire::frame::Command;
 
 use crate::cmd::lines;
 use crate::error::Error;
@@ -41,7 +41,7 @@
     let is_queried = |entry: &Entry| entry.vm == owner || entry.role == Role::Router;
     let entries: Vec<Entry> = peer::list(common).await?.into_iter().filter(is_queried).collect();
     let listed = entries.iter().any(|entry| entry.vm == owner);
-    let answers = peer::query_all(common, entries, &Ask::Explain(args.request.clone())).await?;
+    let answers = peer::query_all(common, entries, &Command::Explain(args.request.clone())).await?;
 
     let mut failures: Vec<String> = answers.iter().filter_map(failure).collect();
     if !listed {
--- a/crates/ctl/src/cmd/quarantine.rs
+++ b/crates/ctl/src/cmd/quarantine.rs
@@ -5,7 +5,7 @@
 use clap::Subcommand;
 use cloud::log::{Client, Record as LogRecord};
 use serde::Serialize;
-use wire::quarantine::{self, LATE, Record, Running, STREAM};
+use wire::quarantine::{self, MAX_RECORD_DELAY, Record, Running, STREAM};
 
 use crate::error::Error;
 use crate::option::Common;
@@ -59,7 +59,7 @@
     match args.command {
         Command::List => list(common, &log).await,
         Command::Lift { fingerprint, author, reason } => {
-            if quarantine::read(&fingerprint).is_none() {
+            if quarantine::parse_fingerprint(&fingerprint).is_none() {
                 let why = format!(
                     "'{fingerprint}' is not a fingerprint, which has 16 hexadecimal digits"
                 );
@@ -120,7 +120,7 @@
                     request: r.request.clone(),
                     tag: r.tag.clone(),
                 };
-                let late_ms = LATE.as_millis() as u64;
+                let late_ms = MAX_RECORD_DELAY.as_millis() as u64;
                 cleared.retain(|(_, at)| at + late_ms > record.time_ms);
                 let not_cleared = |r: &&Running| !cleared.iter().any(|(f, _)| *f == r.fingerprint);
                 suspects
--- a/crates/ctl/src/peer.rs
+++ b/crates/ctl/src/peer.rs
@@ -5,7 +5,7 @@
 
 use cloud::vm::Entry;
 use tokio::task::JoinSet;
-use wire::frame::{Ask, Settings, Tell};
+use wire::frame::{Command, Frame, Settings};
 use wire::link;
 
 use crate::error::Error;
@@ -24,7 +24,7 @@
     /// Entry of the VM list.
     pub entry: Entry,
     /// The VM's answer, or the error message.
-    pub result: Result<Tell, String>,
+    pub result: Result<Frame, String>,
 }
 
 /// Returns the platform's VM list.
@@ -36,7 +36,7 @@
 pub async fn query_all(
     common: &Common,
     entries: Vec<Entry>,
-    request: &Ask,
+    request: &Command,
 ) -> Result<Vec<Answer>, Error> {
     let any = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
     let endpoint = link::client(any, &common.tls()?)?;
@@ -66,19 +66,19 @@
 /// Returns the settings in force at each VM that answers.
 pub async fn settings(common: &Common) -> Result<Vec<Settings>, Error> {
     let entries = list(common).await?;
-    let answers = query_all(common, entries, &Ask::Settings).await?;
+    let answers = query_all(common, entries, &Command::Settings).await?;
     let settings = answers.into_iter().filter_map(|answer| match answer.result {
-        Ok(Tell::Settings(settings)) => Some(settings),
+        Ok(Frame::Settings(settings)) => Some(settings),
         _ => None,
     });
     Ok(settings.collect())
 }
 
 /// Returns the text of an answer, or the error or refusal as a message.
-pub fn text(result: &Result<Tell, String>) -> Result<&str, String> {
+pub fn text(result: &Result<Frame, String>) -> Result<&str, String> {
     match result {
-        Ok(Tell::Text(text)) => Ok(text),
-        Ok(Tell::Refused(refusal)) => Err(refusal.to_string()),
+        Ok(Frame::Text(text)) => Ok(text),
+        Ok(Frame::Refused(refusal)) => Err(refusal.to_string()),
         Ok(_) => Err("unexpected kind of answer".to_string()),
         Err(e) => Err(e.clone()),
     }
@@ -87,8 +87,8 @@
 async fn exchange(
     endpoint: &quinn::Endpoint,
     entry: &Entry,
-    request: &Ask,
-) -> Result<Tell, link::Error> {
+    request: &Command,
+) -> Result<Frame, link::Error> {
     let connection = link::connect(endpoint, &entry.vm, &entry.address).await?;
     let mut stream = link::open(&connection, &entry.vm, request).await?;
     stream.finish();
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -11,7 +11,7 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::watch;
 use tokio::time::Instant;
-use wire::frame::{Ask, Settings, Tell};
+use wire::frame::{Command, Frame, Settings};
 use wire::{id, link};
 
 use crate::peers::Peers;
@@ -223,15 +223,15 @@
     /// Fetches the settings of a peer if they are newer. Requests its version first, as the text of a
     /// large fleet's settings is long.
     async fn fetch_newer(&self, vm: &str, address: &str) -> Result<Option<Settings>, link::Error> {
-        let Tell::Text(status) = self.peers.request(vm, address, &Ask::Status).await? else {
+        let Frame::Text(status) = self.peers.request(vm, address, &Command::Status).await? else {
             return Ok(None);
         };
         let status: serde_json::Value = serde_json::from_str(&status).unwrap_or_default();
         if status["version"].as_u64().unwrap_or(0) <= self.state.version {
             return Ok(None);
         }
-        match self.peers.request(vm, address, &Ask::Settings).await? {
-            Tell::Settings(settings) => Ok(Some(settings)),
+        match self.peers.request(vm, address, &Command::Settings).await? {
+            Frame::Settings(settings) => Ok(Some(settings)),
             _ => Ok(None),
         }
     }
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -38,7 +38,7 @@
     if !settings.caught_up {
         let why = "the settings have not been read yet";
         let refusal = Refusal::not_run(Cause::Unavailable, "authenticate", vm, why);
-        return Err((503, refusal.after(SETTINGS_RETRY)));
+        return Err((503, refusal.with_retry_after(SETTINGS_RETRY)));
     }
     match workspace(&settings.fleet, req).cloned() {
         Some(workspace) => Ok(Caller { fleet: settings.fleet, workspace }),
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -100,9 +100,9 @@
             return problem::render(res, &not_found(vm), &request);
         };
         let cancel = Cancel { request: request.clone(), workspace: workspace.name.clone() };
-        let ask = wire::frame::Ask::Cancel(cancel);
+        let ask = wire::frame::Command::Cancel(cancel);
         let answer =
-            router.node.peers.request::<_, wire::frame::Tell>(&head.vm, &head.address, &ask);
+            router.node.peers.request::<_, wire::frame::Frame>(&head.vm, &head.address, &ask);
         match answer.await {
             Ok(_) => {
                 res.status_code(StatusCode::NO_CONTENT);
@@ -251,7 +251,7 @@
     let mut tokens = Vec::new();
     while let Some(event) = next_event(router, &mut events, request).await {
         match event {
-            Event::Token(_, token) => tokens.push(token.word),
+            Event::Token(_, token) => tokens.push(token.sample),
             Event::Done(_) => {
                 let stopped = tokens.last().is_some_and(|w| w.end);
                 let text: String = tokens.iter().map(|w| w.text.as_str()).collect();
@@ -304,7 +304,7 @@
                 last = now;
                 // The chunk of the last token has the finish reason, so a token that ends the text
                 // is held back until the draft is done.
-                match token.word.end {
+                match token.sample.end {
                     true => {
                         final_token = Some((at, token));
                         continue;
@@ -335,8 +335,8 @@
         "model": model,
         "choices": [{
             "index": 0,
-            "text": token.word.text,
-            "token_id": token.word.id,
+            "text": token.sample.text,
+            "token_id": token.sample.id,
             "finish_reason": finish,
         }],
     });
--- a/crates/router/src/drain.rs
+++ b/crates/router/src/drain.rs
@@ -74,7 +74,7 @@
 pub fn unfinished(router: &Router) -> Refusal {
     let vm = &router.node.process.vm;
     let why = "the router stops before the answer is complete; ask another one";
-    Refusal::unknown(Cause::Leaving, "drain", vm, why).after(RETRY_AFTER)
+    Refusal::unknown(Cause::Leaving, "drain", vm, why).with_retry_after(RETRY_AFTER)
 }
 
 /// Closes each connection after its answer once the router is stopping, so that no connection is
--- a/crates/router/src/head.rs
+++ b/crates/router/src/head.rs
@@ -7,7 +7,7 @@
 use policy::quarantine::Verdict;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use wire::frame::{Ask, Attach, Cancel, Draft, HEAD_STRIDE, Hop, Place, Tell, Word};
+use wire::frame::{Attach, Cancel, Command, Draft, Frame, HEAD_STRIDE, Hop, Place, Sample};
 use wire::id;
 use wire::link::Stream;
 use wire::refusal::{Cause, Outcome, Refusal};
@@ -46,7 +46,7 @@
     request: id::Request,
     head: Place,
     /// Tokens sent to the caller.
-    tokens: Vec<Word>,
+    tokens: Vec<Sample>,
     accepted: bool,
     /// A head did not answer, but may run the draft.
     may_have_run: bool,
@@ -107,7 +107,7 @@
         fingerprint: None,
         cancellations: Vec::new(),
     };
-    let ask = Ask::Attach(attach);
+    let ask = Command::Attach(attach);
     let opened = follower.submit(&ask).await;
     let end = match opened {
         Ok(stream) => follower.follow(stream).await,
@@ -115,7 +115,7 @@
     };
     if let End::Lost(why) = end {
         let refusal = Refusal::unknown(Cause::Lost, "attach", &follower.head.vm, why);
-        follower.refuse(refusal.after(Duration::from_secs(1))).await;
+        follower.refuse(refusal.with_retry_after(Duration::from_secs(1))).await;
     }
 }
 
@@ -195,7 +195,7 @@
         for (_, task) in self.cancellations.iter().filter(|(vm, _)| *vm == self.head.vm) {
             task.abort();
         }
-        let ask = Ask::Draft(self.draft(spec, attempt, chain));
+        let ask = Command::Draft(self.draft(spec, attempt, chain));
         self.submit(&ask).await
     }
 
@@ -223,7 +223,7 @@
     }
 
     /// Opens a stream to the head and waits for it to accept or refuse.
-    async fn submit(&mut self, ask: &Ask) -> Result<Stream, Refusal> {
+    async fn submit(&mut self, ask: &Command) -> Result<Stream, Refusal> {
         let (vm, address) = (self.head.vm.clone(), self.head.address.clone());
         let _wait = self.router.node.peers.register_wait(&vm, &address);
         let connection = self.router.node.peers.connection(&vm, &address).await;
@@ -235,7 +235,7 @@
         let answer = async {
             let mut stream =
                 wire::link::open(&connection, &vm, ask).await.map_err(|e| lost(e.to_string()))?;
-            let tell = stream.expect::<Tell>().await.map_err(|e| lost(e.to_string()))?;
+            let tell = stream.expect::<Frame>().await.map_err(|e| lost(e.to_string()))?;
             Ok((stream, tell))
         };
         let answer = tokio::time::timeout(ACCEPT_TIMEOUT, answer).await;
@@ -243,7 +243,7 @@
         self.may_have_run |= answer.is_err();
         let (stream, tell) = answer?;
         match tell {
-            Tell::Accepted(accepted) => {
+            Frame::Accepted(accepted) => {
                 if !self.accepted {
                     let event = Event::Accepted(self.request.clone(), accepted.prompt_tokens);
                     let _ = self.events.send(event).await;
@@ -251,7 +251,7 @@
                 self.accepted = true;
                 Ok(stream)
             }
-            Tell::Refused(refusal) => Err(refusal),
+            Frame::Refused(refusal) => Err(refusal),
             _ => Err(lost("unexpected frame".into())),
         }
     }
@@ -261,7 +261,7 @@
         let _wait = self.router.node.peers.register_wait(&self.head.vm, &self.head.address);
         loop {
             let tell = tokio::select! {
-                tell = stream.expect::<Tell>() => tell,
+                tell = stream.expect::<Frame>() => tell,
                 () = self.events.closed() => {
                     self.cancel().await;
                     return End::Closed;
@@ -271,20 +271,20 @@
                 }
             };
             match tell {
-                Ok(Tell::Token(token)) => {
-                    self.tokens.push(token.word.clone());
+                Ok(Frame::Token(token)) => {
+                    self.tokens.push(token.sample.clone());
                     let event = Event::Token(self.request.clone(), token);
                     if self.events.send(event).await.is_err() {
                         self.cancel().await;
                         return End::Closed;
                     }
                 }
-                Ok(Tell::Done(done)) => {
+                Ok(Frame::Done(done)) => {
                     self.router.node.metrics.count_request("draft", "answered");
                     let _ = self.events.send(Event::Done(done)).await;
                     return End::Done;
                 }
-                Ok(Tell::Refused(refusal)) => {
+                Ok(Frame::Refused(refusal)) => {
                     self.refuse(refusal).await;
                     return End::Closed;
                 }
@@ -300,12 +300,12 @@
     fn cancel_at_lost_head(&mut self) {
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
         let (head, router) = (self.head.clone(), self.router.clone());
-        let ask = Ask::Cancel(Cancel { request, workspace });
+        let ask = Command::Cancel(Cancel { request, workspace });
         let task = tokio::spawn(async move {
             let end = Instant::now() + CANCEL_PERIOD;
             while Instant::now() < end {
                 tokio::time::sleep(CANCEL_PAUSE).await;
-                let answer = router.node.peers.request::<_, Tell>(&head.vm, &head.address, &ask);
+                let answer = router.node.peers.request::<_, Frame>(&head.vm, &head.address, &ask);
                 if tokio::time::timeout(CANCEL_PAUSE, answer).await.is_ok_and(|r| r.is_ok()) {
                     return;
                 }
@@ -322,9 +322,9 @@
             return;
         }
         let (request, workspace) = (self.request.clone(), self.workspace.clone());
-        let ask = Ask::Cancel(Cancel { request, workspace });
+        let ask = Command::Cancel(Cancel { request, workspace });
         let peers = &self.router.node.peers;
-        if let Err(e) = peers.request::<_, Tell>(&self.head.vm, &self.head.address, &ask).await {
+        if let Err(e) = peers.request::<_, Frame>(&self.head.vm, &self.head.address, &ask).await {
             log::debug!("head: could not cancel a draft: {e}");
         }
     }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -8,7 +8,7 @@
 use salvo::http::{HeaderName, HeaderValue, StatusCode};
 use salvo::prelude::*;
 use tokio::time::{Instant, timeout};
-use wire::frame::{Ask, Call, Class, Place, Reply, Tell};
+use wire::frame::{Call, Class, Command, Frame, Place, Reply};
 use wire::refusal::{Cause, Outcome, Refusal};
 
 use crate::admission::{self, Requirements, Target};
@@ -199,7 +199,7 @@
     let refusal = maybe_run.unwrap_or(last);
     match refusal.retry_after {
         // Only the queue knows that a request will never fit; it then gives no time to retry.
-        None if refusal.step != admission::STEP => refusal.after(BUSY_RETRY),
+        None if refusal.step != admission::STEP => refusal.with_retry_after(BUSY_RETRY),
         _ => refusal,
     }
 }
@@ -224,14 +224,14 @@
     // although another agent could answer it at once.
     let _wait = peers.register_wait(vm, address);
     let answer = async {
-        let ask = Ask::Call(Call { deadline: left, ..call.clone() });
+        let ask = Command::Call(Call { deadline: left, ..call.clone() });
         let mut stream = wire::link::open(&connection, vm, &ask).await?;
         stream.finish();
-        stream.expect::<Tell>().await
+        stream.expect::<Frame>().await
     };
     match timeout(left, answer).await {
-        Ok(Ok(Tell::Reply(reply))) => Ok(reply),
-        Ok(Ok(Tell::Refused(refusal))) => Err(refusal),
+        Ok(Ok(Frame::Reply(reply))) => Ok(reply),
+        Ok(Ok(Frame::Refused(refusal))) => Err(refusal),
         Ok(Ok(_)) => Err(lost("unexpected frame".into())),
         Ok(Err(e)) => Err(lost(e.to_string())),
         Err(_) => {
--- a/crates/wire/src/order.rs
+++ b/crates/wire/src/order.rs
@@ -1,8 +1,7 @@
-//! Records of the log stream that says who loads a range that no engine holds.
+//! Records of the log stream that decides which agent loads a range without a replica.
 //!
-//! Each agent gives orders to the engine on its own VM only; the stream decides
-//! which agent does so for a gap. The offset of its claim is the fencing number
-//! of the order.
+//! Each agent sends orders only to the engine on its own VM; the stream decides which agent does
+//! so for a gap. The offset of its claim is the fencing number of the order.
 
 use std::time::Duration;
 
@@ -14,57 +13,57 @@
 /// Name of the stream.
 pub const STREAM: &str = "orders";
 
-/// Time in which nobody else may claim the same gap: longer than loading takes.
-/// It is counted by the log service's clock alone, so all readers agree.
-pub const HOLD: Duration = Duration::from_secs(10);
+/// Time in which no other agent may claim the same gap; longer than loading takes. It is measured
+/// by the log service's clock only, so all readers agree.
+pub const CLAIM_VALIDITY: Duration = Duration::from_secs(10);
 
 /// One record, encoded as JSON.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Chosen by the agent, by which it finds its own record.
+    /// Id chosen by the agent, by which it finds its own record.
     pub id: String,
     /// The agent's VM.
     pub vm: id::Vm,
     /// The range that no engine holds.
     pub stage: Stage,
-    /// What the engine held before; `None` for one that held nothing.
+    /// Range that the engine held before; `None` if it held nothing.
     pub from: Option<Stage>,
 }
 
-/// A claim where it stands in the stream.
+/// A claim with its offset in the stream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
-    /// Its offset.
+pub struct LogRecord {
+    /// Offset of the record.
     pub offset: u64,
-    /// When the log service took it, in milliseconds since the Unix epoch.
+    /// Time at which the log service appended it, in milliseconds since the Unix epoch.
     pub time_ms: u64,
     /// The claim.
     pub claim: Claim,
 }
 
-/// Claims that count, out of records in the order of the stream: the first for a
-/// gap, and of engines that hold the same range only one, until [`HOLD`] has
-/// passed. Readers of the same records agree. When older records have expired, they
-/// agree on all claims after the first pause of [`HOLD`] without any claim.
+/// Returns the claims that count, given the records in the order of the stream. Until
+/// [`CLAIM_VALIDITY`] has passed, only the first claim for a gap counts, and only one of the
+/// engines that hold the same range. Readers of the same records agree. If older records have
+/// expired, they agree on all claims after the first pause of [`CLAIM_VALIDITY`] without a claim.
 ///
 /// ```
 /// use wire::frame::Stage;
-/// use wire::order::{Claim, Placed, valid};
+/// use wire::order::{Claim, LogRecord, filter_valid};
 /// let stage = Stage { model: "m".into(), version: 1, first: 0, last: 3 };
-/// let placed = |offset, vm: &str| Placed {
+/// let record = |offset, vm: &str| LogRecord {
 ///     offset,
 ///     time_ms: 1000,
 ///     claim: Claim { id: vm.into(), vm: vm.into(), stage: stage.clone(), from: None },
 /// };
-/// let found = valid(vec![placed(4, "a"), placed(5, "b")]);
+/// let found = filter_valid(vec![record(4, "a"), record(5, "b")]);
 /// assert_eq!(found.len(), 1);
 /// assert_eq!(found[0].offset, 4);
 /// ```
-pub fn valid(records: Vec<Placed>) -> Vec<Placed> {
-    let mut found: Vec<Placed> = Vec::new();
+pub fn filter_valid(records: Vec<LogRecord>) -> Vec<LogRecord> {
+    let mut found: Vec<LogRecord> = Vec::new();
     for new in records {
-        let hold = HOLD.as_millis() as u64;
-        let clash = |old: &Placed| {
+        let hold = CLAIM_VALIDITY.as_millis() as u64;
+        let clash = |old: &LogRecord| {
             let same = old.claim.stage == new.claim.stage;
             let donor = new.claim.from.is_some() && old.claim.from == new.claim.from;
             let recent = new.time_ms < old.time_ms.saturating_add(hold);
--- a/crates/wire/src/tls.rs
+++ b/crates/wire/src/tls.rs
@@ -1,4 +1,4 @@
-//! Mutual TLS by the fleet's own certificate authority.
+//! Mutual TLS with the fleet's own certificate authority.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, pem::PemObject};
 use rustls::server::WebPkiClientVerifier;
 
-/// A connection without traffic for this long is dead. Chosen to be longer than
-/// a short freeze of a VM and shorter than what a caller waits.
-pub const IDLE: Duration = Duration::from_secs(3);
+/// Time without traffic after which a connection is closed. Longer than a short freeze of a VM
+/// and shorter than a caller waits.
+pub const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Keeps an idle connection alive and finds a dead peer.
-pub const KEEP_ALIVE: Duration = Duration::from_millis(750);
+/// Interval of packets that keep an idle connection open and detect an unreachable peer.
+pub const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(750);
 
-/// Bytes of unread pings that are held at most.
-const PINGS: usize = 64;
+/// Maximum number of bytes of buffered pings.
+const PING_BUFFER_BYTES: usize = 64;
 
 /// Why the certificates can't be used.
 #[derive(Debug, Display, Error)]
 #[display("certificate step '{step}', file {file}: {reason}")]
 pub struct Error {
-    /// What was being done.
+    /// Step that failed.
     pub step: &'static str,
-    /// With which file.
+    /// File of that step.
     pub file: String,
-    /// The library's own words.
+    /// Error text of the library.
     pub reason: String,
 }
 
-/// Configurations of both directions of a process.
+/// TLS configuration of a process, for both directions.
 #[derive(Debug, Clone)]
-pub struct Pair {
-    /// For connections it accepts.
+pub struct Config {
+    /// For connections that the process accepts.
     pub server: quinn::ServerConfig,
-    /// For connections it opens.
+    /// For connections that the process opens.
     pub client: quinn::ClientConfig,
 }
 
@@ -48,7 +48,7 @@
 /// let none = Path::new("no-such-file.pem");
 /// assert!(wire::tls::load(none, none, none).is_err());
 /// ```
-pub fn load(authority: &Path, certificate: &Path, key: &Path) -> Result<Pair, Error> {
+pub fn load(authority: &Path, certificate: &Path, key: &Path) -> Result<Config, Error> {
     let roots = Arc::new(roots(authority)?);
     let chain = certificates(certificate)?;
     let key_der = PrivateKeyDer::from_pem_file(key).map_err(|e| error("read key", key, e))?;
@@ -76,17 +76,17 @@
     let mut client = quinn::ClientConfig::new(Arc::new(client));
     server.transport_config(transport());
     client.transport_config(transport());
-    Ok(Pair { server, client })
+    Ok(Config { server, client })
 }
 
 fn transport() -> Arc<quinn::TransportConfig> {
     let mut transport = quinn::TransportConfig::default();
     transport
-        .max_idle_timeout(Some(IDLE.try_into().expect("a few seconds fit")))
-        .keep_alive_interval(Some(KEEP_ALIVE))
+        .max_idle_timeout(Some(IDLE_TIMEOUT.try_into().expect("a few seconds fit")))
+        .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
         .max_concurrent_bidi_streams(4096u32.into())
         // One-byte datagrams serve as pings and are never read.
-        .datagram_receive_buffer_size(Some(PINGS));
+        .datagram_receive_buffer_size(Some(PING_BUFFER_BYTES));
     Arc::new(transport)
 }
 
