--- a/crates/cloud/src/vm.rs
+++ b/crates/cloud/src/vm.rs
@@ -80,7 +80,7 @@
 
     /// The list when its tag is no longer `tag`, else `None`. A service without
     /// tags sends the whole list each time.
-    pub async fn changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
+    pub async fn list_if_changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
         let known = [("if-none-match".to_string(), tag.to_string())];
         let headers = if tag.is_empty() { &[][..] } else { &known[..] };
         let answer = self.http.send("GET", "/v1/vms", headers, Default::default()).await?;
@@ -89,7 +89,7 @@
         }
         let tag = answer.headers.iter().find(|h| h.0.eq_ignore_ascii_case("etag"));
         let tag = tag.map_or(String::new(), |h| h.1.clone());
-        let entries = self.http.decoded(&answer)?;
+        let entries = self.http.decode_answer(&answer)?;
         Ok(Some(List { entries, tag }))
     }
 }
--- a/crates/fake/src/model.rs
+++ b/crates/fake/src/model.rs
@@ -131,10 +131,10 @@
 /// The answer to `prompt`, computed straight through all layers in one place.
 ///
 /// ```
-/// let answer = fake::model::straight("m", 1, 12, "draft a label", 5);
+/// let answer = fake::model::expected_answer("m", 1, 12, "draft a label", 5);
 /// assert!(!answer.is_empty() && answer.len() <= 5);
 /// ```
-pub fn straight(
+pub fn expected_answer(
     model: &str,
     version: u32,
     layers: u32,
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -61,7 +61,7 @@
         inputs = vec![token.id];
         answer.push(token);
     }
-    assert_eq!(answer, model::straight("m", 1, 12, "a batch of wristbands", 5));
+    assert_eq!(answer, model::expected_answer("m", 1, 12, "a batch of wristbands", 5));
     for (server, _) in &stages {
         let books = books(server).await;
         assert_eq!(books.layer_runs, 4 * u64::from(position));
--- a/crates/fake/tests/model.rs
+++ b/crates/fake/tests/model.rs
@@ -1,6 +1,6 @@
 //! The model proves how an answer was computed.
 
-use fake::model::{Range, sample, straight, tokenize};
+use fake::model::{Range, expected_answer, sample, tokenize};
 use rstest::rstest;
 
 const LAYERS: u32 = 12;
@@ -43,14 +43,15 @@
 fn the_answer_shows_the_chain(#[case] case: Case) {
     let range = |r: &(u32, u32)| Range::new("chat", 3, LAYERS, r.0, r.1);
     let ranges: Vec<Range> = case.ranges.iter().map(range).collect();
-    let answer = straight("chat", 3, LAYERS, PROMPT, 8);
+    let answer = expected_answer("chat", 3, LAYERS, PROMPT, 8);
     assert!(answer.len() > 1, "the prompt must give an answer worth comparing");
     assert_eq!(staged(&ranges, 8) == answer, case.same);
 }
 
 #[test]
 fn answers_end_by_themselves_at_various_lengths() {
-    let lengths = (0..200).map(|i| straight("chat", 1, 4, &format!("prompt {i}"), 2000).len());
+    let lengths =
+        (0..200).map(|i| expected_answer("chat", 1, 4, &format!("prompt {i}"), 2000).len());
     let mut lengths: Vec<usize> = lengths.collect();
     lengths.sort_unstable();
     assert!(lengths[199] < 2000, "every answer ends");
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -101,7 +101,7 @@
     let mut list = cloud::vm::List { entries: Vec::new(), tag: String::new() };
     let mut known = Known::default();
     while !tx.is_closed() {
-        match client.changed(&list.tag).await {
+        match client.list_if_changed(&list.tag).await {
             Ok(news) => {
                 failing = false;
                 list = news.unwrap_or(list);
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -193,11 +193,11 @@
         };
         let headers = [(header::CONTENT_TYPE.to_string(), "application/json".to_string())];
         let answer = self.send(method, path, &headers, body).await?;
-        self.decoded(&answer)
+        self.decode_answer(&answer)
     }
 
     /// The JSON of an answer with a 2xx status; an empty body decodes as `null`.
-    pub fn decoded<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, Error> {
+    pub fn decode_answer<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, Error> {
         if !StatusCode::from_u16(answer.status).is_ok_and(|s| s.is_success()) {
             let body = String::from_utf8_lossy(&answer.body).chars().take(200).collect();
             return Err(Error::Status { peer: self.base.clone(), status: answer.status, body });
--- a/crates/router/tests/callers.rs
+++ b/crates/router/tests/callers.rs
@@ -199,7 +199,7 @@
         tokio::time::sleep(Duration::from_millis(3)).await;
     }
     let text = String::from_utf8_lossy(&raw);
-    let expected = fake::model::straight("draft", 1, 4, PROMPT, 120);
+    let expected = fake::model::expected_answer("draft", 1, 4, PROMPT, 120);
     let ids: Vec<u64> = text
         .lines()
         .filter_map(|l| l.strip_prefix("data: {"))
@@ -240,5 +240,8 @@
 }
 
 fn straight(tokens: usize) -> String {
-    fake::model::straight("draft", 1, 4, PROMPT, tokens).iter().map(|t| t.text.as_str()).collect()
+    fake::model::expected_answer("draft", 1, 4, PROMPT, tokens)
+        .iter()
+        .map(|t| t.text.as_str())
+        .collect()
 }
--- a/crates/router/tests/queue.rs
+++ b/crates/router/tests/queue.rs
@@ -38,7 +38,7 @@
 /// Numbers of prompts whose answers have all [`LONG`] tokens. Others end early and free
 /// their slot while a test still counts on a full fleet.
 fn long() -> impl Iterator<Item = usize> {
-    let answer = |n: usize| fake::model::straight("draft", 1, 4, &prompt(n), LONG as usize);
+    let answer = |n: usize| fake::model::expected_answer("draft", 1, 4, &prompt(n), LONG as usize);
     (0..).filter(move |&n| answer(n).len() == LONG as usize)
 }
 
--- a/crates/scenario/src/draft.rs
+++ b/crates/scenario/src/draft.rs
@@ -69,7 +69,7 @@
 
 /// Sends the draft and stays with it to its end.
 pub async fn run(caller: &Caller, job: &Job) -> Outcome {
-    let (expected, positions) = model::straight(job.layers, &job.prompt, job.max_tokens);
+    let (expected, positions) = model::expected_answer(job.layers, &job.prompt, job.max_tokens);
     let mut out = Outcome::new(Kind::Draft, "");
     out.positions = positions;
     out.workspace = job.workspace;
