--- a/crates/fake/src/bucket.rs
+++ b/crates/fake/src/bucket.rs
@@ -7,8 +7,8 @@
 pub struct Bucket {
     rate: f64,
     burst: f64,
-    left: f64,
-    at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl Bucket {
@@ -23,16 +23,16 @@
     /// ```
     pub fn new(rate: u32, burst: Duration, now: Instant) -> Bucket {
         let burst = (f64::from(rate) * burst.as_secs_f64()).max(1.0);
-        Bucket { rate: f64::from(rate), burst, left: burst, at: now }
+        Bucket { rate: f64::from(rate), burst, tokens: burst, refilled_at: now }
     }
 
     /// Takes one token; false when there is none.
     pub fn take(&mut self, now: Instant) -> bool {
-        let gained = now.saturating_duration_since(self.at).as_secs_f64() * self.rate;
-        self.left = (self.left + gained).min(self.burst);
-        self.at = now;
-        let some = self.left >= 1.0;
-        self.left -= if some { 1.0 } else { 0.0 };
-        some
+        let gained = now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.rate;
+        self.tokens = (self.tokens + gained).min(self.burst);
+        self.refilled_at = now;
+        let available = self.tokens >= 1.0;
+        self.tokens -= if available { 1.0 } else { 0.0 };
+        available
     }
 }
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::model::{self, Range};
 use crate::serve::{self, Call, Reply, Server};
 
-pub mod book;
+pub mod history;
 mod cache;
 mod core;
 mod load;
@@ -20,7 +20,7 @@
 use core::{Answer, Core};
 
 /// Furthest that the batch schedule may lie behind the clock.
-const SLACK: Duration = Duration::from_millis(5);
+const MAX_SCHEDULE_LAG: Duration = Duration::from_millis(5);
 
 /// Command line of an engine.
 #[derive(Debug, Clone, clap::Args)]
@@ -74,7 +74,7 @@
 #[serde(default)]
 pub struct Fault {
     /// The process exits with code 137 when a session whose tag contains this runs a step.
-    /// Empty for none. A tag that contains [`CRASH`] always has this effect.
+    /// Empty for none. A tag that contains [`CRASH_TAG`] always has this effect.
     pub crash_tag: Option<String>,
     /// Microseconds each batch takes.
     pub step_us: Option<u64>,
@@ -88,10 +88,10 @@
 }
 
 /// A session whose tag contains this crashes every engine that runs a step of it.
-pub const CRASH: &str = "[crash]";
+pub const CRASH_TAG: &str = "[crash]";
 
 /// Exit code of a crash, as of a process that was killed.
-pub const CRASH_CODE: i32 = 137;
+pub const CRASH_EXIT_CODE: i32 = 137;
 
 struct Shared {
     core: Arc<Mutex<Core>>,
@@ -108,63 +108,63 @@
         core: Arc::new(Mutex::new(Core::new(options, Instant::now()))),
         wake: Notify::new(),
     });
-    let batches = tokio::spawn(batches(shared.clone()));
-    let readings = tokio::spawn(load::sample(shared.core.clone()));
+    let batches = tokio::spawn(run_batches(shared.clone()));
+    let samples = tokio::spawn(load::sample(shared.core.clone()));
     let server = serve::start(listener, move |call| {
         let shared = shared.clone();
         async move { route(&shared, &call).await.unwrap_or_else(|refusal| refusal) }
     })?;
-    Ok(server.with_task(batches).with_task(readings))
+    Ok(server.with_task(batches).with_task(samples))
 }
 
 async fn route(shared: &Arc<Shared>, call: &Call) -> Result<Reply, Reply> {
     let core = || serve::lock(&shared.core);
     match (call.method.as_str(), call.segments().as_slice()) {
-        ("POST", ["v1", "sessions", id, "steps"]) => step(shared, id, call.json()?).await,
-        ("POST", ["v1", "sessions"]) => done(core().open(call.json::<Session>()?)),
+        ("POST", ["v1", "sessions", id, "steps"]) => run_step(shared, id, call.json()?).await,
+        ("POST", ["v1", "sessions"]) => reply(core().open(call.json::<Session>()?)),
         ("DELETE", ["v1", "sessions"]) => {
             core().cancel_all();
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
-        ("DELETE", ["v1", "sessions", id]) => done(core().cancel(id)),
+        ("DELETE", ["v1", "sessions", id]) => reply(core().cancel(id)),
         ("GET", ["v1", "sessions", id, "kv"]) => {
-            Ok(Reply::json(200, &core().export(id).map_err(refuse)?))
+            Ok(Reply::json(200, &core().export(id).map_err(error_reply)?))
         }
-        ("PUT", ["v1", "sessions", id, "kv"]) => done(core().import(id, call.json::<Kv>()?)),
+        ("PUT", ["v1", "sessions", id, "kv"]) => reply(core().import(id, call.json::<Kv>()?)),
         ("GET", ["v1", "info"]) => Ok(Reply::json::<Info>(200, &core().info())),
         ("GET", ["v1", "load"]) => Ok(Reply::json::<Load>(200, &core().load(Instant::now()))),
         ("GET", ["v1", "events"]) => {
-            Ok(Reply::json(200, &core().events(call.number("from"), Instant::now())))
+            Ok(Reply::json(200, &core().events(call.query_number("from"), Instant::now())))
         }
         ("POST", ["v1", "tokenize"]) => {
             let tokens = model::tokenize(&call.json::<Text>()?.text);
             Ok(Reply::json(200, &Tokens { tokens }))
         }
-        ("POST", ["v1", "orders"]) => order(shared, call.json()?),
+        ("POST", ["v1", "orders"]) => accept_order(shared, call.json()?),
         ("POST", ["~fake", "control"]) => {
-            core().set(call.json()?);
+            core().set_fault(call.json()?);
             shared.wake.notify_one();
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
         ("GET", ["~fake", "books"]) => {
-            let books = books(&core(), call);
-            Ok(Reply::json(200, &books))
+            let history = history(&core(), call);
+            Ok(Reply::json(200, &history))
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
-async fn step(shared: &Shared, id: &str, step: Step) -> Result<Reply, Reply> {
+async fn run_step(shared: &Shared, id: &str, step: Step) -> Result<Reply, Reply> {
     let (reply, answer) = oneshot::channel();
-    serve::lock(&shared.core).admit(id, step, reply).map_err(refuse)?;
+    serve::lock(&shared.core).enqueue_step(id, step, reply).map_err(error_reply)?;
     shared.wake.notify_one();
-    let gone = Answer::Err((410, "the session ended"));
-    let output = answer.await.unwrap_or(gone).map_err(refuse)?;
+    let ended = Answer::Err((410, "the session ended"));
+    let output = answer.await.unwrap_or(ended).map_err(error_reply)?;
     Ok(Reply::json(200, &output))
 }
 
-fn order(shared: &Arc<Shared>, order: Order) -> Result<Reply, Reply> {
-    let loading = serve::lock(&shared.core).order(&order).map_err(refuse)?;
+fn accept_order(shared: &Arc<Shared>, order: Order) -> Result<Reply, Reply> {
+    let loading = serve::lock(&shared.core).accept_order(&order).map_err(error_reply)?;
     match &shared.weights {
         Some(weights) => {
             // Ends by itself: with the last layer, or once a newer order has come.
@@ -173,17 +173,17 @@
         None => {
             let load::Loading { order, layers, number } = loading;
             let range = Range::new(&order.model, order.version, layers, order.first, order.last);
-            serve::lock(&shared.core).loaded(number, range);
+            serve::lock(&shared.core).finish_loading(number, range);
         }
     }
-    Ok(Reply::done())
+    Ok(Reply::ok())
 }
 
 /// Runs one batch after the other while steps wait.
-async fn batches(shared: Arc<Shared>) {
+async fn run_batches(shared: Arc<Shared>) {
     let mut due = Instant::now();
     loop {
-        let Some((batch, time)) = serve::lock(&shared.core).pick() else {
+        let Some((batch, time)) = serve::lock(&shared.core).next_batch() else {
             shared.wake.notified().await;
             due = due.max(Instant::now());
             continue;
@@ -191,25 +191,25 @@
         // The timer rounds up to a millisecond. Batches that follow each other keep to
         // their own schedule, so that the rounding doesn't lower the engine's rate.
         let now = Instant::now();
-        due = due.max(now.checked_sub(SLACK).unwrap_or(now)) + time;
+        due = due.max(now.checked_sub(MAX_SCHEDULE_LAG).unwrap_or(now)) + time;
         tokio::time::sleep_until(due).await;
-        while serve::lock(&shared.core).hangs() {
+        while serve::lock(&shared.core).is_hung() {
             shared.wake.notified().await;
         }
-        serve::lock(&shared.core).finish(&batch, time);
+        serve::lock(&shared.core).finish_batch(&batch, time);
     }
 }
 
-/// The books with the sessions that `find`, `from` and `limit` in the query ask for.
-fn books(core: &Core, call: &Call) -> book::Books {
-    let sessions = call.part(core.books.find(call.text("find")));
-    core.books.with_sessions(sessions)
+/// The history with the sessions that `find`, `from` and `limit` in the query ask for.
+fn history(core: &Core, call: &Call) -> history::History {
+    let sessions = call.page(core.history.find(call.query_text("find")));
+    core.history.with_sessions(sessions)
 }
 
-fn done(outcome: Result<(), core::Refusal>) -> Result<Reply, Reply> {
-    outcome.map(|()| Reply::done()).map_err(refuse)
+fn reply(outcome: Result<(), core::Refusal>) -> Result<Reply, Reply> {
+    outcome.map(|()| Reply::ok()).map_err(error_reply)
 }
 
-fn refuse((status, reason): core::Refusal) -> Reply {
-    Reply::refuse(status, reason)
+fn error_reply((status, reason): core::Refusal) -> Reply {
+    Reply::error(status, reason)
 }
--- a/crates/fake/src/engine/cache.rs
+++ b/crates/fake/src/engine/cache.rs
@@ -9,13 +9,13 @@
 use crate::model;
 
 /// Positions of a block; prefixes are cached in whole blocks.
-pub const BLOCK: usize = 16;
+pub const BLOCK_POSITIONS: usize = 16;
 
 /// Events kept for readers.
-const EVENTS: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 
 /// Events of an answer at most.
-const PAGE: usize = 1000;
+const MAX_PAGE_EVENTS: usize = 1000;
 
 /// One event in this many is never published.
 const GAP_ONE_IN: u64 = 8;
@@ -43,28 +43,28 @@
     }
 
     /// Positions at the start of `inputs` that are cached.
-    pub(crate) fn hit(&mut self, inputs: &[u64]) -> u32 {
+    pub(crate) fn cached_positions(&mut self, inputs: &[u64]) -> u32 {
         let mut cached = 0;
-        for prefix in prefixes(inputs) {
+        for prefix in block_hashes(inputs) {
             self.uses += 1;
             match self.entries.binary_search_by_key(&prefix, |e| e.prefix) {
                 Ok(i) => self.entries[i].used = self.uses,
                 Err(_) => break,
             }
-            cached += BLOCK as u32;
+            cached += BLOCK_POSITIONS as u32;
         }
         cached
     }
 
     /// Caches every block of `inputs`.
     pub(crate) fn insert(&mut self, inputs: &[u64], now: Instant) {
-        for prefix in prefixes(inputs).take(self.limit) {
+        for prefix in block_hashes(inputs).take(self.limit) {
             self.uses += 1;
             let used = self.uses;
             match self.entries.binary_search_by_key(&prefix, |e| e.prefix) {
                 Ok(i) => self.entries[i].used = used,
                 Err(_) => {
-                    self.make_room(now);
+                    self.evict_if_full(now);
                     let i = self.entries.partition_point(|e| e.prefix < prefix);
                     self.entries.insert(i, Entry { prefix, used });
                     self.publish(prefix, true, now);
@@ -82,11 +82,11 @@
 
     /// Events from number `from` that are older than `lag`.
     pub(crate) fn events(&self, from: u64, lag: Duration, now: Instant) -> Vec<Event> {
-        let late = |e: &&(Instant, Event)| e.0 + lag <= now && e.1.number >= from;
-        self.events.iter().filter(late).take(PAGE).map(|e| e.1.clone()).collect()
+        let visible = |e: &&(Instant, Event)| e.0 + lag <= now && e.1.number >= from;
+        self.events.iter().filter(visible).take(MAX_PAGE_EVENTS).map(|e| e.1.clone()).collect()
     }
 
-    fn make_room(&mut self, now: Instant) {
+    fn evict_if_full(&mut self, now: Instant) {
         if self.entries.len() < self.limit {
             return;
         }
@@ -100,10 +100,10 @@
     fn publish(&mut self, prefix: u64, cached: bool, now: Instant) {
         let number = self.next;
         self.next += 1;
-        if model::prefix(&[number]).is_multiple_of(GAP_ONE_IN) {
+        if model::prefix_hash(&[number]).is_multiple_of(GAP_ONE_IN) {
             return;
         }
-        if self.events.len() >= EVENTS {
+        if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back((now, Event { number, prefix, cached }));
@@ -111,10 +111,10 @@
 }
 
 /// Hash of the first block, of the first two blocks, and so on.
-fn prefixes(inputs: &[u64]) -> impl Iterator<Item = u64> {
-    let blocks = inputs.chunks_exact(BLOCK);
+fn block_hashes(inputs: &[u64]) -> impl Iterator<Item = u64> {
+    let blocks = inputs.chunks_exact(BLOCK_POSITIONS);
     blocks.scan(0, |hash, block| {
-        *hash = model::extend(*hash, block);
+        *hash = model::extend_hash(*hash, block);
         Some(*hash)
     })
 }
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -6,10 +6,10 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-use super::book::{Books, Run};
 use super::cache::Cache;
-use super::load::{Loading, Readings};
-use super::{CRASH, CRASH_CODE, Fault, Options};
+use super::history::{History, Run};
+use super::load::{LoadSamples, Loading};
+use super::{CRASH_EXIT_CODE, CRASH_TAG, Fault, Options};
 use crate::model::{self, Range};
 use crate::serve;
 
@@ -20,7 +20,7 @@
 pub(crate) type Answer = Result<Output, Refusal>;
 
 /// Weight of a new batch in the mean step time: one in this many.
-const MEAN_OVER: u64 = 8;
+const MEAN_BATCHES: u64 = 8;
 
 /// What an engine holds.
 pub(crate) struct Core {
@@ -32,7 +32,7 @@
     orders: u64,
     fence: u64,
     /// Sorted by id.
-    sessions: Vec<Live>,
+    sessions: Vec<OpenSession>,
     /// Counts sessions and steps, to tell one from a later one of the same name.
     count: u64,
     crash_tag: String,
@@ -40,17 +40,17 @@
     fail_next: u32,
     mean_us: u64,
     cache: Cache,
-    readings: Readings,
-    pub books: Books,
+    samples: LoadSamples,
+    pub history: History,
 }
 
-struct Live {
+struct OpenSession {
     session: Session,
     number: u64,
     next: u32,
     state: Vec<u64>,
     pending: Option<Pending>,
-    place: Option<usize>,
+    history_index: Option<usize>,
 }
 
 struct Pending {
@@ -62,7 +62,7 @@
 
 /// A session chosen for a batch.
 #[derive(Debug, Clone)]
-pub(crate) struct Picked {
+pub(crate) struct BatchEntry {
     session: String,
     number: u64,
 }
@@ -84,12 +84,12 @@
             fail_next: 0,
             mean_us: options.step_us,
             cache: Cache::new(options.prefix_cache),
-            readings: Readings::default(),
-            books: Books { incarnation: incarnation.clone(), ..Books::default() },
+            samples: LoadSamples::default(),
+            history: History { incarnation: incarnation.clone(), ..History::default() },
             incarnation,
             options,
         };
-        core.read(now);
+        core.sample_load(now);
         core
     }
 
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(crate) fn set(&mut self, fault: Fault) {
+    pub(crate) fn set_fault(&mut self, fault: Fault) {
         if let Some(tag) = fault.crash_tag {
             self.crash_tag = tag;
         }
@@ -117,12 +117,12 @@
         self.fail_next = fault.fail_next.unwrap_or(self.fail_next);
     }
 
-    pub(crate) fn hangs(&self) -> bool {
+    pub(crate) fn is_hung(&self) -> bool {
         self.hang
     }
 
     pub(crate) fn open(&mut self, session: Session) -> Result<(), Refusal> {
-        let at = self.at(&session.session);
+        let at = self.find(&session.session);
         let range = self.range.as_ref().filter(|_| self.loading.is_none());
         match (at, range) {
             (Ok(_), _) => Err((409, "the session exists")),
@@ -130,9 +130,10 @@
             _ if self.sessions.len() >= self.options.slots as usize => Err((429, "no free slot")),
             (Err(i), Some(range)) => {
                 self.count += 1;
-                let place = self.books.open(&session, range);
-                let (number, state) = (self.count, range.fresh());
-                let live = Live { session, number, next: 0, state, pending: None, place };
+                let history_index = self.history.record_session(&session, range);
+                let (number, state) = (self.count, range.initial_state());
+                let live =
+                    OpenSession { session, number, next: 0, state, pending: None, history_index };
                 self.sessions.insert(i, live);
                 Ok(())
             }
@@ -140,7 +141,7 @@
     }
 
     /// Takes a step to wait for a batch; its answer goes to `reply`.
-    pub(crate) fn admit(
+    pub(crate) fn enqueue_step(
         &mut self,
         id: &str,
         step: Step,
@@ -148,13 +149,13 @@
     ) -> Result<(), Refusal> {
         self.count += 1;
         let arrival = self.count;
-        let i = self.at(id).map_err(|_| (404, "no such session"))?;
+        let i = self.find(id).map_err(|_| (404, "no such session"))?;
         let live = &mut self.sessions[i];
         match () {
             _ if live.pending.is_some() => Err((409, "a step of the session is running")),
             _ if step.position != live.next => Err((409, "not the session's next position")),
             _ if step.inputs.is_empty() => Err((400, "no inputs")),
-            _ if serve::take(&mut self.fail_next) => Err((500, "failed before the step")),
+            _ if serve::take_one(&mut self.fail_next) => Err((500, "failed before the step")),
             _ => {
                 live.pending = Some(Pending { arrival, step, cached: 0, reply });
                 Ok(())
@@ -164,7 +165,7 @@
 
     /// Ends a session. The answer to its step, if one waits, is dropped and read as 410.
     pub(crate) fn cancel(&mut self, id: &str) -> Result<(), Refusal> {
-        let i = self.at(id).map_err(|_| (404, "no such session"))?;
+        let i = self.find(id).map_err(|_| (404, "no such session"))?;
         self.sessions.remove(i);
         Ok(())
     }
@@ -174,7 +175,7 @@
     }
 
     pub(crate) fn export(&self, id: &str) -> Result<Kv, Refusal> {
-        let i = self.at(id).map_err(|_| (404, "no such session"))?;
+        let i = self.find(id).map_err(|_| (404, "no such session"))?;
         let live = &self.sessions[i];
         match live.pending {
             Some(_) => Err((409, "a step of the session is running")),
@@ -183,7 +184,7 @@
     }
 
     pub(crate) fn import(&mut self, id: &str, kv: Kv) -> Result<(), Refusal> {
-        let i = self.at(id).map_err(|_| (404, "no such session"))?;
+        let i = self.find(id).map_err(|_| (404, "no such session"))?;
         let live = &mut self.sessions[i];
         match () {
             _ if live.next > 0 || live.pending.is_some() => Err((409, "the session has run")),
@@ -196,43 +197,43 @@
     }
 
     /// Chooses the next batch and says how long it takes; none while no step waits.
-    pub(crate) fn pick(&mut self) -> Option<(Vec<Picked>, Duration)> {
+    pub(crate) fn next_batch(&mut self) -> Option<(Vec<BatchEntry>, Duration)> {
         let waits = |i: &usize| self.sessions[*i].pending.is_some();
         let mut order: Vec<usize> = (0..self.sessions.len()).filter(waits).collect();
         if order.is_empty() || self.hang {
             return None;
         }
-        let rank = |live: &Live| {
+        let rank = |live: &OpenSession| {
             let arrival = live.pending.as_ref().map_or(0, |p| p.arrival);
             (std::cmp::Reverse(live.session.priority), arrival)
         };
         order.sort_by_key(|i| rank(&self.sessions[*i]));
         order.truncate(self.options.batch.max(1));
-        let mut fresh = 0;
+        let mut computed = 0;
         let mut batch = Vec::new();
         for i in order {
             let live = &mut self.sessions[i];
-            crash(&live.session.tag, &self.crash_tag);
-            batch.push(Picked { session: live.session.session.clone(), number: live.number });
+            exit_on_crash_tag(&live.session.tag, &self.crash_tag);
+            batch.push(BatchEntry { session: live.session.session.clone(), number: live.number });
             let Some(pending) = &mut live.pending else { continue };
             if pending.step.position == 0 {
-                pending.cached = self.cache.hit(&pending.step.inputs);
+                pending.cached = self.cache.cached_positions(&pending.step.inputs);
             }
-            fresh += pending.step.inputs.len() as u64 - u64::from(pending.cached);
+            computed += pending.step.inputs.len() as u64 - u64::from(pending.cached);
         }
-        let us = self.options.step_us + self.options.token_us * fresh;
+        let us = self.options.step_us + self.options.token_us * computed;
         Some((batch, Duration::from_micros(us)))
     }
 
     /// Computes a batch and answers its steps. Sessions that ended meanwhile are left out.
-    pub(crate) fn finish(&mut self, batch: &[Picked], time: Duration) {
+    pub(crate) fn finish_batch(&mut self, batch: &[BatchEntry], time: Duration) {
         let us = time.as_micros() as u64;
-        self.mean_us = (self.mean_us * (MEAN_OVER - 1) + us) / MEAN_OVER;
-        self.books.batches += 1;
-        self.books.busy_us += us;
-        for picked in batch {
-            match self.at(&picked.session) {
-                Ok(i) if self.sessions[i].number == picked.number => self.run(i),
+        self.mean_us = (self.mean_us * (MEAN_BATCHES - 1) + us) / MEAN_BATCHES;
+        self.history.batches += 1;
+        self.history.busy_us += us;
+        for entry in batch {
+            match self.find(&entry.session) {
+                Ok(i) if self.sessions[i].number == entry.number => self.run(i),
                 _ => {}
             }
         }
@@ -248,8 +249,12 @@
         }
         let count = inputs.len() as u32;
         live.next = position + count;
-        self.books.ran(live.place, Run { start: position, count }, range.seeds.len());
-        self.books.cached += u64::from(pending.cached);
+        self.history.record_run(
+            live.history_index,
+            Run { start: position, count },
+            range.seeds.len(),
+        );
+        self.history.cached += u64::from(pending.cached);
         if position == 0 {
             self.cache.insert(&inputs, Instant::now());
         }
@@ -259,11 +264,11 @@
     }
 
     /// Accepts an order; the sessions in progress end at once.
-    pub(crate) fn order(&mut self, order: &Order) -> Result<Loading, Refusal> {
+    pub(crate) fn accept_order(&mut self, order: &Order) -> Result<Loading, Refusal> {
         let layers = self.layers_of(&order.model);
         match () {
             _ if self.options.checks_fence && order.fence < self.fence => {
-                self.books.refused += 1;
+                self.history.refused += 1;
                 return Err((409, "old fencing number"));
             }
             _ if order.first > order.last || order.last >= layers => {
@@ -274,7 +279,7 @@
         self.fence = self.fence.max(order.fence);
         self.orders += 1;
         self.loading = Some(self.orders);
-        self.books.ordered(order);
+        self.history.record_order(order);
         self.sessions.clear();
         Ok(Loading { order: order.clone(), layers, number: self.orders })
     }
@@ -284,7 +289,7 @@
     }
 
     /// Puts the layers of an order in place, unless a newer order has come.
-    pub(crate) fn loaded(&mut self, number: u64, range: Range) {
+    pub(crate) fn finish_loading(&mut self, number: u64, range: Range) {
         if self.is_loading(number) {
             self.loading = None;
             self.range = Some(range);
@@ -294,21 +299,21 @@
 
     pub(crate) fn load(&self, now: Instant) -> Load {
         match self.options.load_lag_ms {
-            0 => self.reading(),
-            _ => self.readings.late(now, self.lag()),
+            0 => self.current_load(),
+            _ => self.samples.delayed(now, self.lag()),
         }
     }
 
-    pub(crate) fn read(&mut self, now: Instant) {
-        let (load, lag) = (self.reading(), self.lag());
-        self.readings.push(now, load, lag);
+    pub(crate) fn sample_load(&mut self, now: Instant) {
+        let (load, lag) = (self.current_load(), self.lag());
+        self.samples.push(now, load, lag);
     }
 
     pub(crate) fn events(&self, from: u64, now: Instant) -> Vec<Event> {
         self.cache.events(from, self.lag(), now)
     }
 
-    fn reading(&self) -> Load {
+    fn current_load(&self) -> Load {
         let waiting = self.sessions.iter().filter(|s| s.pending.is_some()).count();
         Load {
             sessions: self.sessions.len() as u32,
@@ -322,7 +327,7 @@
         Duration::from_millis(self.options.load_lag_ms)
     }
 
-    fn at(&self, id: &str) -> Result<usize, usize> {
+    fn find(&self, id: &str) -> Result<usize, usize> {
         self.sessions.binary_search_by(|s| s.session.session.as_str().cmp(id))
     }
 
@@ -333,9 +338,9 @@
 }
 
 /// Ends the process as a crash of the engine does: at once and without an answer to anyone.
-fn crash(tag: &str, crash_tag: &str) {
-    if tag.contains(CRASH) || (!crash_tag.is_empty() && tag.contains(crash_tag)) {
+fn exit_on_crash_tag(tag: &str, crash_tag: &str) {
+    if tag.contains(CRASH_TAG) || (!crash_tag.is_empty() && tag.contains(crash_tag)) {
         log::error!("engine: crashed by a request");
-        std::process::exit(CRASH_CODE);
+        std::process::exit(CRASH_EXIT_CODE);
     }
 }
--- a/crates/fake/src/engine/book.rs
+++ b/crates/fake/src/engine/history.rs
@@ -6,14 +6,14 @@
 use crate::model::Range;
 
 /// Sessions the book holds; later ones are only counted.
-pub const SESSIONS: usize = 200_000;
+pub const MAX_SESSIONS: usize = 200_000;
 
 /// Orders the book holds; later ones are only counted.
-pub const ORDERS: usize = 10_000;
+pub const MAX_ORDERS: usize = 10_000;
 
 /// Everything an engine process did since its start.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Books {
+pub struct History {
     /// Incarnation of the process.
     pub incarnation: String,
     /// Orders accepted, in order.
@@ -21,7 +21,7 @@
     /// Orders refused for their fencing number.
     pub refused: u64,
     /// Sessions ever opened, in order of opening.
-    pub sessions: Vec<Opened>,
+    pub sessions: Vec<SessionRuns>,
     /// Sessions that no longer fitted into the book.
     pub unlisted: u64,
     /// Positions run, over all sessions.
@@ -38,7 +38,7 @@
 
 /// One session and the positions it ran.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Opened {
+pub struct SessionRuns {
     /// Id given by the agent.
     pub session: String,
     /// Tag given by the agent.
@@ -64,7 +64,7 @@
     pub count: u32,
 }
 
-impl Opened {
+impl SessionRuns {
     /// Positions run, repeated ones counted again.
     pub fn positions(&self) -> u64 {
         self.runs.iter().map(|r| u64::from(r.count)).sum()
@@ -73,12 +73,12 @@
     /// A position that was run twice in this session, if there is one.
     ///
     /// ```
-    /// use fake::engine::book::{Opened, Run};
+    /// use fake::engine::history::{SessionRuns, Run};
     /// let runs = vec![Run { start: 0, count: 4 }, Run { start: 3, count: 2 }];
-    /// let opened = Opened { runs, ..Opened::default() };
-    /// assert_eq!(opened.repeated(), Some(3));
+    /// let session = SessionRuns { runs, ..SessionRuns::default() };
+    /// assert_eq!(session.repeated_position(), Some(3));
     /// ```
-    pub fn repeated(&self) -> Option<u32> {
+    pub fn repeated_position(&self) -> Option<u32> {
         let mut runs = self.runs.clone();
         runs.sort_by_key(|r| r.start);
         let overlap = |pair: &[Run]| pair[1].start < pair[0].start + pair[0].count;
@@ -86,26 +86,26 @@
     }
 }
 
-impl Books {
+impl History {
     /// Sessions whose id or tag contains `part`, such as a request's id.
-    pub fn find<'a>(&'a self, part: &'a str) -> impl Iterator<Item = &'a Opened> {
+    pub fn find<'a>(&'a self, part: &'a str) -> impl Iterator<Item = &'a SessionRuns> {
         self.sessions.iter().filter(move |s| s.session.contains(part) || s.tag.contains(part))
     }
 
-    /// The books with other sessions in place of all of them.
-    pub(crate) fn with_sessions(&self, sessions: Vec<Opened>) -> Books {
-        let Books { incarnation, orders, .. } = self;
+    /// The history with other sessions in place of all of them.
+    pub(crate) fn with_sessions(&self, sessions: Vec<SessionRuns>) -> History {
+        let History { incarnation, orders, .. } = self;
         let (incarnation, orders) = (incarnation.clone(), orders.clone());
-        Books { incarnation, orders, sessions, ..*self }
+        History { incarnation, orders, sessions, ..*self }
     }
 
-    /// Enters a session; gives its place, or none when the book is full.
-    pub(crate) fn open(&mut self, session: &Session, range: &Range) -> Option<usize> {
-        if self.sessions.len() >= SESSIONS {
+    /// Enters a session; gives its index, or none when the book is full.
+    pub(crate) fn record_session(&mut self, session: &Session, range: &Range) -> Option<usize> {
+        if self.sessions.len() >= MAX_SESSIONS {
             self.unlisted += 1;
             return None;
         }
-        self.sessions.push(Opened {
+        self.sessions.push(SessionRuns {
             session: session.session.clone(),
             tag: session.tag.clone(),
             model: range.model.clone(),
@@ -118,19 +118,19 @@
     }
 
     /// Enters the positions of a step.
-    pub(crate) fn ran(&mut self, place: Option<usize>, run: Run, layers: usize) {
+    pub(crate) fn record_run(&mut self, index: Option<usize>, run: Run, layers: usize) {
         self.positions += u64::from(run.count);
         self.layer_runs += u64::from(run.count) * layers as u64;
-        let Some(opened) = place.and_then(|i| self.sessions.get_mut(i)) else { return };
-        match opened.runs.last_mut() {
+        let Some(session) = index.and_then(|i| self.sessions.get_mut(i)) else { return };
+        match session.runs.last_mut() {
             Some(last) if last.start + last.count == run.start => last.count += run.count,
-            _ => opened.runs.push(run),
+            _ => session.runs.push(run),
         }
     }
 
     /// Enters an accepted order.
-    pub(crate) fn ordered(&mut self, order: &Order) {
-        if self.orders.len() < ORDERS {
+    pub(crate) fn record_order(&mut self, order: &Order) {
+        if self.orders.len() < MAX_ORDERS {
             self.orders.push(order.clone());
         }
     }
--- a/crates/fake/src/engine/load.rs
+++ b/crates/fake/src/engine/load.rs
@@ -13,13 +13,13 @@
 use crate::serve;
 
 /// Time between two readings.
-const READING: Duration = Duration::from_millis(20);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Readings kept at most.
-const READINGS: usize = 3000;
+/// Samples kept at most.
+const MAX_SAMPLES: usize = 3000;
 
 /// Pause before a layer is asked for again.
-const RETRY: Duration = Duration::from_millis(100);
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// An order that is being carried out.
 #[derive(Debug, Clone)]
@@ -42,37 +42,37 @@
         let layer = order.first + seeds.len() as u32;
         match weights.fetch(&order.model, order.version, layer).await {
             Ok(layer) => seeds.push(layer.seed),
-            Err(_) => tokio::time::sleep(RETRY).await,
+            Err(_) => tokio::time::sleep(FETCH_RETRY_DELAY).await,
         }
     }
     let Order { model, version, first, .. } = order;
-    serve::lock(&core).loaded(number, Range { model, version, layers, first, seeds });
+    serve::lock(&core).finish_loading(number, Range { model, version, layers, first, seeds });
 }
 
 /// Takes a reading of the load again and again.
 pub(crate) async fn sample(core: Arc<Mutex<Core>>) {
     loop {
-        serve::lock(&core).read(Instant::now());
-        tokio::time::sleep(READING).await;
+        serve::lock(&core).sample_load(Instant::now());
+        tokio::time::sleep(SAMPLE_INTERVAL).await;
     }
 }
 
-/// Readings of the last while.
+/// Samples of the last while.
 #[derive(Debug, Default)]
-pub(crate) struct Readings(VecDeque<(Instant, Load)>);
+pub(crate) struct LoadSamples(VecDeque<(Instant, Load)>);
 
-impl Readings {
+impl LoadSamples {
     /// Adds a reading and drops those that are too old to be asked for.
     pub(crate) fn push(&mut self, now: Instant, load: Load, lag: Duration) {
         let too_old = |r: &(Instant, Load)| r.0 + lag < now;
-        while self.0.get(1).is_some_and(too_old) || self.0.len() >= READINGS {
+        while self.0.get(1).is_some_and(too_old) || self.0.len() >= MAX_SAMPLES {
             self.0.pop_front();
         }
         self.0.push_back((now, load));
     }
 
     /// The newest reading that is at least `lag` old; an idle engine before there is one.
-    pub(crate) fn late(&self, now: Instant, lag: Duration) -> Load {
+    pub(crate) fn delayed(&self, now: Instant, lag: Duration) -> Load {
         let found = self.0.iter().rev().find(|r| r.0 + lag <= now);
         let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
         found.map_or(Load::default(), |r| Load { age_ms: age(r.0), ..r.1.clone() })
--- a/crates/fake/src/link.rs
+++ b/crates/fake/src/link.rs
@@ -16,10 +16,10 @@
 mod queue;
 
 /// Relays at most.
-const RELAYS: usize = 1000;
+const MAX_RELAYS: usize = 1000;
 
 /// Faults in force at most.
-const FAULTS: usize = 10_000;
+const MAX_FAULTS: usize = 10_000;
 
 /// Command line of the link.
 #[derive(Debug, Clone, clap::Args)]
@@ -62,7 +62,7 @@
 
 /// What one relay did, both ways counted together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Count {
+pub struct Counters {
     /// Datagrams that came in.
     pub received: u64,
     /// Datagrams sent on, doubles counted.
@@ -79,11 +79,11 @@
 
 /// A relay and what it did.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Book {
+pub struct RelayStats {
     /// The relay.
     pub link: Link,
     /// What it did.
-    pub count: Count,
+    pub count: Counters,
 }
 
 /// Sum of the faults that hold for a datagram.
@@ -106,9 +106,9 @@
     /// Effect on what `source` sends through `link`, and on the answers.
     pub(crate) fn effect(&self, source: IpAddr, link: &Link) -> Effect {
         let holds = |f: &&Fault| {
-            let straight = matches(&f.from, source, None) && self.is_end(&f.to, link);
-            let back = f.mirror && self.is_end(&f.from, link) && self.is_source(&f.to, source);
-            straight || back
+            let forward = matches(&f.from, source, None) && self.is_end(&f.to, link);
+            let reverse = f.mirror && self.is_end(&f.from, link) && self.is_source(&f.to, source);
+            forward || reverse
         };
         self.faults.iter().filter(holds).fold(Effect::default(), |sum, f| Effect {
             cut: sum.cut || f.cut,
@@ -124,9 +124,9 @@
     }
 
     fn is_source(&self, pattern: &str, source: IpAddr) -> bool {
-        let own = |l: &&Link| l.target.ip() == source;
+        let of_source = |l: &&Link| l.target.ip() == source;
         matches(pattern, source, None)
-            || self.links.iter().filter(own).any(|l| self.is_end(pattern, l))
+            || self.links.iter().filter(of_source).any(|l| self.is_end(pattern, l))
     }
 }
 
@@ -148,23 +148,23 @@
     call: &Call,
 ) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
-        ("POST", ["~fake", "links"]) => add(table, relays, seed, call.json()?).await,
+        ("POST", ["~fake", "links"]) => add_relay(table, relays, seed, call.json()?).await,
         ("GET", ["~fake", "books"]) => {
-            let book = |r: &relay::Relay| Book { link: r.link.clone(), count: r.count() };
-            let books: Vec<Book> = serve::lock(relays).iter().map(book).collect();
-            Ok(Reply::json(200, &books))
+            let stats = |r: &relay::Relay| RelayStats { link: r.link.clone(), count: r.count() };
+            let stats: Vec<RelayStats> = serve::lock(relays).iter().map(stats).collect();
+            Ok(Reply::json(200, &stats))
         }
-        ("POST", ["~fake", "faults"]) => set(&mut serve::lock(table), call.json()?),
+        ("POST", ["~fake", "faults"]) => set_fault(&mut serve::lock(table), call.json()?),
         ("GET", ["~fake", "faults"]) => Ok(Reply::json(200, &serve::lock(table).faults)),
         ("DELETE", ["~fake", "faults"]) => {
             serve::lock(table).faults.clear();
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
-async fn add(
+async fn add_relay(
     table: &Arc<Mutex<Table>>,
     relays: &Arc<Mutex<Vec<relay::Relay>>>,
     seed: u64,
@@ -172,31 +172,31 @@
 ) -> Result<Reply, Reply> {
     match () {
         _ if !link.listen.ip().is_loopback() || !link.target.ip().is_loopback() => {
-            return Err(Reply::refuse(400, "only loopback addresses are relayed"));
+            return Err(Reply::error(400, "only loopback addresses are relayed"));
         }
-        _ if serve::lock(relays).len() >= RELAYS => {
-            return Err(Reply::refuse(507, "too many relays"));
+        _ if serve::lock(relays).len() >= MAX_RELAYS => {
+            return Err(Reply::error(507, "too many relays"));
         }
         _ => {}
     }
     let seed = seed.wrapping_add(serve::lock(relays).len() as u64);
     let relay = relay::start(link, table.clone(), seed)
         .await
-        .map_err(|e| Reply::refuse(409, &format!("could not listen: {e}")))?;
+        .map_err(|e| Reply::error(409, &format!("could not listen: {e}")))?;
     let link = relay.link.clone();
     serve::lock(table).links.push(link.clone());
     serve::lock(relays).push(relay);
     Ok(Reply::json(201, &link))
 }
 
-fn set(table: &mut Table, fault: Fault) -> Result<Reply, Reply> {
+fn set_fault(table: &mut Table, fault: Fault) -> Result<Reply, Reply> {
     table.faults.retain(|f| (&f.from, &f.to) != (&fault.from, &fault.to));
     match fault.clear {
-        true => Ok(Reply::done()),
-        false if table.faults.len() >= FAULTS => Err(Reply::refuse(507, "too many faults")),
+        true => Ok(Reply::ok()),
+        false if table.faults.len() >= MAX_FAULTS => Err(Reply::error(507, "too many faults")),
         false => {
             table.faults.push(fault);
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
     }
 }
--- a/crates/fake/src/link/queue.rs
+++ b/crates/fake/src/link/queue.rs
@@ -10,7 +10,7 @@
 use crate::serve;
 
 /// Datagrams held at once; a further one is dropped, as a full buffer of a link does.
-const HELD: usize = 20_000;
+const MAX_DATAGRAMS: usize = 20_000;
 
 /// A queue in order of due time, and of arrival among equals.
 #[derive(Debug)]
@@ -21,32 +21,32 @@
 
 #[derive(Debug)]
 struct Heap<T> {
-    held: BinaryHeap<Reverse<Held<T>>>,
+    entries: BinaryHeap<Reverse<Entry<T>>>,
     count: u64,
 }
 
 #[derive(Debug)]
-struct Held<T> {
+struct Entry<T> {
     due: Instant,
     number: u64,
     item: T,
 }
 
-impl<T> PartialEq for Held<T> {
+impl<T> PartialEq for Entry<T> {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl<T> Eq for Held<T> {}
+impl<T> Eq for Entry<T> {}
 
-impl<T> PartialOrd for Held<T> {
+impl<T> PartialOrd for Entry<T> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T> Ord for Held<T> {
+impl<T> Ord for Entry<T> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.due, self.number).cmp(&(other.due, other.number))
     }
@@ -60,20 +60,20 @@
 
 impl<T> Queue<T> {
     pub(crate) fn new() -> Queue<T> {
-        let heap = Heap { held: BinaryHeap::new(), count: 0 };
+        let heap = Heap { entries: BinaryHeap::new(), count: 0 };
         Queue { heap: Arc::new(Mutex::new(heap)), changed: Arc::new(Notify::new()) }
     }
 
     /// Holds `item` until `due`; false when the queue is full.
     pub(crate) fn push(&self, due: Instant, item: T) -> bool {
         let mut heap = serve::lock(&self.heap);
-        if heap.held.len() >= HELD {
+        if heap.entries.len() >= MAX_DATAGRAMS {
             return false;
         }
         heap.count += 1;
         let number = heap.count;
-        let earliest = heap.held.peek().is_none_or(|first| due < first.0.due);
-        heap.held.push(Reverse(Held { due, number, item }));
+        let earliest = heap.entries.peek().is_none_or(|first| due < first.0.due);
+        heap.entries.push(Reverse(Entry { due, number, item }));
         if earliest {
             self.changed.notify_one();
         }
@@ -83,7 +83,7 @@
     /// The next item, when its time has come.
     pub(crate) async fn pop(&self) -> T {
         loop {
-            let due = match self.ready(Instant::now()) {
+            let due = match self.pop_due(Instant::now()) {
                 Ok(item) => return item,
                 Err(due) => due,
             };
@@ -97,11 +97,11 @@
         }
     }
 
-    fn ready(&self, now: Instant) -> Result<T, Option<Instant>> {
+    fn pop_due(&self, now: Instant) -> Result<T, Option<Instant>> {
         let mut heap = serve::lock(&self.heap);
-        match heap.held.peek() {
+        match heap.entries.peek() {
             Some(first) if first.0.due > now => Err(Some(first.0.due)),
-            Some(_) => heap.held.pop().map(|h| h.0.item).ok_or(None),
+            Some(_) => heap.entries.pop().map(|h| h.0.item).ok_or(None),
             None => Err(None),
         }
     }
--- a/crates/fake/src/link/relay.rs
+++ b/crates/fake/src/link/relay.rs
@@ -11,14 +11,14 @@
 use tokio::time::Instant;
 
 use super::queue::Queue;
-use super::{Count, Effect, Link, Table};
+use super::{Counters, Effect, Link, Table};
 use crate::serve;
 
 /// Longest datagram.
-const DATAGRAM: usize = 65_535;
+const MAX_DATAGRAM_BYTES: usize = 65_535;
 
 /// Sources of a relay at once; the one that was silent longest makes room.
-const SOURCES: usize = 1024;
+const MAX_SOURCES: usize = 1024;
 
 /// A relay that runs until it is dropped.
 pub(crate) struct Relay {
@@ -28,8 +28,8 @@
 }
 
 impl Relay {
-    pub(crate) fn count(&self) -> Count {
-        serve::lock(&self.core.draws).count.clone()
+    pub(crate) fn count(&self) -> Counters {
+        serve::lock(&self.core.chance).count.clone()
     }
 }
 
@@ -42,13 +42,13 @@
 struct Core {
     link: Link,
     table: Arc<Mutex<Table>>,
-    draws: Arc<Mutex<Draws>>,
+    chance: Arc<Mutex<Chance>>,
     queue: Queue<Datagram>,
 }
 
-struct Draws {
+struct Chance {
     rng: Pcg64,
-    count: Count,
+    count: Counters,
 }
 
 struct Datagram {
@@ -79,32 +79,34 @@
 ) -> std::io::Result<Relay> {
     let socket = Arc::new(UdpSocket::bind(link.listen).await?);
     link.listen = socket.local_addr()?;
-    let draws = Draws { rng: Pcg64::seed_from_u64(seed), count: Count::default() };
+    let chance = Chance { rng: Pcg64::seed_from_u64(seed), count: Counters::default() };
     let core = Arc::new(Core {
         link: link.clone(),
         table,
-        draws: Arc::new(Mutex::new(draws)),
+        chance: Arc::new(Mutex::new(chance)),
         queue: Queue::new(),
     });
-    let tasks =
-        vec![tokio::spawn(forward(core.clone(), socket)), tokio::spawn(deliver_held(core.clone()))];
+    let tasks = vec![
+        tokio::spawn(forward(core.clone(), socket)),
+        tokio::spawn(deliver_delayed(core.clone())),
+    ];
     Ok(Relay { link, core, tasks })
 }
 
 async fn forward(core: Arc<Core>, socket: Arc<UdpSocket>) {
     let mut flows: Vec<Flow> = Vec::new();
-    let mut buf = vec![0; DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         // An error here is a port unreachable notice for an earlier datagram.
         let Ok((len, source)) = socket.recv_from(&mut buf).await else { continue };
-        let Ok(upstream) = upstream(&core, &socket, &mut flows, source).await else { continue };
+        let Ok(upstream) = upstream_for(&core, &socket, &mut flows, source).await else { continue };
         let data = Bytes::copy_from_slice(&buf[..len]);
         let to = core.link.target;
-        pass(&core, Datagram { source: source.ip(), socket: upstream, to, data }).await;
+        relay_datagram(&core, Datagram { source: source.ip(), socket: upstream, to, data }).await;
     }
 }
 
-async fn upstream(
+async fn upstream_for(
     core: &Arc<Core>,
     socket: &Arc<UdpSocket>,
     flows: &mut Vec<Flow>,
@@ -114,12 +116,12 @@
     let i = match flows.binary_search_by(|f| f.source.cmp(&source)) {
         Ok(i) => i,
         Err(_) => {
-            if flows.len() >= SOURCES {
+            if flows.len() >= MAX_SOURCES {
                 let idle = (0..flows.len()).min_by_key(|i| flows[*i].used).unwrap_or(0);
                 flows.remove(idle);
             }
             let upstream = Arc::new(UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?);
-            let answers = answer(core.clone(), upstream.clone(), socket.clone(), source);
+            let answers = forward_answers(core.clone(), upstream.clone(), socket.clone(), source);
             let flow = Flow { source, upstream, used: now, answers: tokio::spawn(answers) };
             let i = flows.partition_point(|f| f.source < source);
             flows.insert(i, flow);
@@ -130,28 +132,28 @@
     Ok(flows[i].upstream.clone())
 }
 
-async fn answer(
+async fn forward_answers(
     core: Arc<Core>,
     upstream: Arc<UdpSocket>,
     socket: Arc<UdpSocket>,
     source: SocketAddr,
 ) {
-    let mut buf = vec![0; DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = upstream.recv_from(&mut buf).await else { continue };
         // Only the target's answers belong to this flow.
         if from == core.link.target {
             let data = Bytes::copy_from_slice(&buf[..len]);
             let socket = socket.clone();
-            pass(&core, Datagram { source: source.ip(), socket, to: source, data }).await;
+            relay_datagram(&core, Datagram { source: source.ip(), socket, to: source, data }).await;
         }
     }
 }
 
 /// Sends a datagram on, holds it or drops it, as the faults in force say.
-async fn pass(core: &Core, datagram: Datagram) {
+async fn relay_datagram(core: &Core, datagram: Datagram) {
     let effect = serve::lock(&core.table).effect(datagram.source, &core.link);
-    let copies = copies(core, &effect);
+    let copies = draw_copies(core, &effect);
     for _ in 0..copies {
         let Datagram { source, to, .. } = datagram;
         let (socket, data) = (datagram.socket.clone(), datagram.data.clone());
@@ -159,25 +161,25 @@
         match effect.delay.is_zero() {
             true => send(core, copy).await,
             false if core.queue.push(Instant::now() + effect.delay, copy) => {}
-            false => serve::lock(&core.draws).count.overflow += 1,
+            false => serve::lock(&core.chance).count.overflow += 1,
         }
     }
 }
 
-fn copies(core: &Core, effect: &Effect) -> u32 {
-    let mut draws = serve::lock(&core.draws);
-    draws.count.received += 1;
+fn draw_copies(core: &Core, effect: &Effect) -> u32 {
+    let mut chance = serve::lock(&core.chance);
+    chance.count.received += 1;
     match () {
         _ if effect.cut => {
-            draws.count.cut += 1;
+            chance.count.cut += 1;
             0
         }
-        _ if effect.loss > 0.0 && draws.rng.random::<f64>() < effect.loss => {
-            draws.count.lost += 1;
+        _ if effect.loss > 0.0 && chance.rng.random::<f64>() < effect.loss => {
+            chance.count.lost += 1;
             0
         }
-        _ if effect.duplicate > 0.0 && draws.rng.random::<f64>() < effect.duplicate => {
-            draws.count.doubled += 1;
+        _ if effect.duplicate > 0.0 && chance.rng.random::<f64>() < effect.duplicate => {
+            chance.count.doubled += 1;
             2
         }
         _ => 1,
@@ -186,12 +188,12 @@
 
 /// Sends what was held. A datagram held when the link was cut is dropped, since
 /// otherwise a cut link would still deliver for as long as its delay.
-async fn deliver_held(core: Arc<Core>) {
+async fn deliver_delayed(core: Arc<Core>) {
     loop {
         let datagram = core.queue.pop().await;
         let cut = serve::lock(&core.table).effect(datagram.source, &core.link).cut;
         match cut {
-            true => serve::lock(&core.draws).count.cut += 1,
+            true => serve::lock(&core.chance).count.cut += 1,
             false => send(&core, datagram).await,
         }
     }
@@ -199,6 +201,6 @@
 
 async fn send(core: &Core, datagram: Datagram) {
     if datagram.socket.send_to(&datagram.data, datagram.to).await.is_ok() {
-        serve::lock(&core.draws).count.delivered += 1;
+        serve::lock(&core.chance).count.delivered += 1;
     }
 }
--- a/crates/fake/src/log.rs
+++ b/crates/fake/src/log.rs
@@ -13,22 +13,22 @@
 use crate::serve::{self, Call, Reply, Server};
 
 /// Records of a page at most.
-pub const PAGE: usize = 1000;
+pub const MAX_PAGE_RECORDS: usize = 1000;
 
 /// Text of a page at most, in bytes, so that a page stays below the client's limit.
-const PAGE_BYTES: usize = 4 << 20;
+const MAX_PAGE_BYTES: usize = 4 << 20;
 
 /// Text of a record at most, in bytes.
-const RECORD_BYTES: usize = 1 << 20;
+const MAX_RECORD_BYTES: usize = 1 << 20;
 
 /// Streams at most.
-const STREAMS: usize = 10_000;
+const MAX_STREAMS: usize = 10_000;
 
 /// How much of a second's rate may be taken at once.
 const BURST: Duration = Duration::from_millis(250);
 
 /// Longest wait of a read.
-const WAIT: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 
 /// Command line of the log service.
 #[derive(Debug, Clone, clap::Args)]
@@ -72,9 +72,9 @@
 
 /// What the log service did.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Books {
+pub struct Stats {
     /// Streams in order of name.
-    pub streams: Vec<Count>,
+    pub streams: Vec<StreamStats>,
     /// Appends that took effect.
     pub appends: u64,
     /// Appends in the busiest second.
@@ -87,7 +87,7 @@
 
 /// Extent of one stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Count {
+pub struct StreamStats {
     /// Name of the stream.
     pub stream: String,
     /// Oldest offset kept.
@@ -103,7 +103,7 @@
     first: Offset,
     records: VecDeque<Record>,
     bytes: u64,
-    grown: Arc<Notify>,
+    appended: Arc<Notify>,
 }
 
 struct Service {
@@ -114,9 +114,9 @@
     lose_answers: u32,
     refuse_next: u32,
     delay: Duration,
-    books: Books,
+    stats: Stats,
     second: u64,
-    in_second: u64,
+    appends_in_second: u64,
 }
 
 type Shared = Arc<Mutex<Service>>;
@@ -131,9 +131,9 @@
         lose_answers: 0,
         refuse_next: 0,
         delay: Duration::ZERO,
-        books: Books::default(),
+        stats: Stats::default(),
         second: 0,
-        in_second: 0,
+        appends_in_second: 0,
     }));
     serve::start(listener, move |call| {
         let shared = shared.clone();
@@ -143,10 +143,10 @@
 
 async fn route(shared: &Shared, call: &Call) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
-        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &books(&serve::lock(shared)))),
+        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &stats(&serve::lock(shared)))),
         ("POST", ["~fake", "control"]) => {
-            control(&mut serve::lock(shared), call.json()?);
-            Ok(Reply::done())
+            set_fault(&mut serve::lock(shared), call.json()?);
+            Ok(Reply::ok())
         }
         ("POST", ["v1", "streams", name]) => {
             let body: Append = call.json()?;
@@ -158,24 +158,24 @@
             reply
         }
         ("GET", ["v1", "streams", name]) => {
-            let wait = Duration::from_millis(call.number("wait_ms")).min(WAIT);
-            let page = read(shared, name, call.number("from"), wait).await?;
+            let wait = Duration::from_millis(call.query_number("wait_ms")).min(MAX_WAIT);
+            let page = read(shared, name, call.query_number("from"), wait).await?;
             let delay = serve::lock(shared).delay;
             tokio::time::sleep(delay).await;
             Ok(Reply::json(200, &page))
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
 fn append(service: &mut Service, name: &str, data: String) -> Result<Reply, Reply> {
     match () {
-        _ if service.outage => return Err(Reply::refuse(503, "outage")),
-        _ if serve::take(&mut service.refuse_next) => return Err(Reply::refuse(503, "refused")),
-        _ if data.len() > RECORD_BYTES => return Err(Reply::refuse(413, "record too long")),
+        _ if service.outage => return Err(Reply::error(503, "outage")),
+        _ if serve::take_one(&mut service.refuse_next) => return Err(Reply::error(503, "refused")),
+        _ if data.len() > MAX_RECORD_BYTES => return Err(Reply::error(413, "record too long")),
         _ if !service.bucket.take(Instant::now()) => {
-            service.books.refused += 1;
-            return Err(Reply::refuse(429, "over the rate"));
+            service.stats.refused += 1;
+            return Err(Reply::error(429, "over the rate"));
         }
         _ => {}
     }
@@ -185,10 +185,10 @@
     stream.bytes += data.len() as u64;
     stream.records.push_back(Record { offset, time_ms: now_ms(), data });
     expire(stream, offset + 1, retain);
-    stream.grown.notify_waiters();
-    count(service);
-    match serve::take(&mut service.lose_answers) {
-        true => Err(Reply::Drop),
+    stream.appended.notify_waiters();
+    count_append(service);
+    match serve::take_one(&mut service.lose_answers) {
+        true => Err(Reply::CloseConnection),
         false => Ok(Reply::json(200, &Appended { offset })),
     }
 }
@@ -196,20 +196,20 @@
 async fn read(shared: &Shared, name: &str, from: Offset, wait: Duration) -> Result<Page, Reply> {
     let until = tokio::time::Instant::now() + wait;
     loop {
-        let grown = {
+        let appended = {
             let mut service = serve::lock(shared);
             if service.outage {
-                return Err(Reply::refuse(503, "outage"));
+                return Err(Reply::error(503, "outage"));
             }
-            stream(&mut service, name)?.grown.clone()
+            stream(&mut service, name)?.appended.clone()
         };
         // Registered before the look at the records, so that an append between the two
         // wakes this read instead of leaving it waiting until its time is up.
-        let mut woken = std::pin::pin!(grown.notified());
-        woken.as_mut().enable();
+        let mut notified = std::pin::pin!(appended.notified());
+        notified.as_mut().enable();
         let page = page(stream(&mut serve::lock(shared), name)?, from);
-        if !page.records.is_empty() || tokio::time::timeout_at(until, woken).await.is_err() {
-            serve::lock(shared).books.reads += 1;
+        if !page.records.is_empty() || tokio::time::timeout_at(until, notified).await.is_err() {
+            serve::lock(shared).stats.reads += 1;
             return Ok(page);
         }
     }
@@ -221,21 +221,21 @@
     let mut bytes = 0;
     let fits = |record: &&Record| {
         bytes += record.data.len();
-        bytes <= PAGE_BYTES
+        bytes <= MAX_PAGE_BYTES
     };
-    let records = stream.records.range(skip as usize..).take(PAGE).take_while(fits);
+    let records = stream.records.range(skip as usize..).take(MAX_PAGE_RECORDS).take_while(fits);
     Page { records: records.cloned().collect(), first: stream.first, next }
 }
 
 fn stream<'a>(service: &'a mut Service, name: &str) -> Result<&'a mut Stream, Reply> {
     let i = match service.streams.binary_search_by(|s| s.name.as_str().cmp(name)) {
         Ok(i) => i,
-        Err(_) if service.streams.len() >= STREAMS => {
-            return Err(Reply::refuse(507, "too many streams"));
+        Err(_) if service.streams.len() >= MAX_STREAMS => {
+            return Err(Reply::error(507, "too many streams"));
         }
         Err(i) => {
-            let (name, grown) = (name.to_string(), Arc::new(Notify::new()));
-            let stream = Stream { name, first: 0, records: VecDeque::new(), bytes: 0, grown };
+            let (name, appended) = (name.to_string(), Arc::new(Notify::new()));
+            let stream = Stream { name, first: 0, records: VecDeque::new(), bytes: 0, appended };
             service.streams.insert(i, stream);
             i
         }
@@ -251,18 +251,18 @@
     }
 }
 
-fn count(service: &mut Service) {
+fn count_append(service: &mut Service) {
     let second = now_ms() / 1000;
     if service.second != second {
         service.second = second;
-        service.in_second = 0;
+        service.appends_in_second = 0;
     }
-    service.in_second += 1;
-    service.books.appends += 1;
-    service.books.busiest_second = service.books.busiest_second.max(service.in_second);
+    service.appends_in_second += 1;
+    service.stats.appends += 1;
+    service.stats.busiest_second = service.stats.busiest_second.max(service.appends_in_second);
 }
 
-fn control(service: &mut Service, fault: Fault) {
+fn set_fault(service: &mut Service, fault: Fault) {
     service.outage = fault.outage.unwrap_or(service.outage);
     service.lose_answers = fault.lose_answers.unwrap_or(service.lose_answers);
     service.refuse_next = fault.refuse_next.unwrap_or(service.refuse_next);
@@ -276,18 +276,18 @@
         let before = fault.expire.as_ref().filter(|e| e.stream == stream.name).map(|e| e.before);
         expire(stream, next, service.retain.min(next.saturating_sub(before.unwrap_or(0)) as usize));
         // Reads that wait see an outage at once instead of after their wait.
-        stream.grown.notify_waiters();
+        stream.appended.notify_waiters();
     }
 }
 
-fn books(service: &Service) -> Books {
-    let count = |s: &Stream| Count {
+fn stats(service: &Service) -> Stats {
+    let count = |s: &Stream| StreamStats {
         stream: s.name.clone(),
         first: s.first,
         next: s.first + s.records.len() as u64,
         bytes: s.bytes,
     };
-    Books { streams: service.streams.iter().map(count).collect(), ..service.books.clone() }
+    Stats { streams: service.streams.iter().map(count).collect(), ..service.stats.clone() }
 }
 
 fn now_ms() -> u64 {
--- a/crates/fake/src/model.rs
+++ b/crates/fake/src/model.rs
@@ -17,7 +17,7 @@
 const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
 
 /// Length of a token's word after its `w`.
-const WORD: usize = 3;
+const WORD_DIGITS: usize = 3;
 
 /// Seed of a layer, as the weight store hands it out.
 ///
@@ -54,7 +54,7 @@
 /// assert_eq!(tokenize("").len(), 1);
 /// ```
 pub fn tokenize(text: &str) -> Vec<u64> {
-    let ids: Vec<u64> = text.split_whitespace().map(id).collect();
+    let ids: Vec<u64> = text.split_whitespace().map(token_id).collect();
     match ids.is_empty() {
         true => vec![0],
         false => ids,
@@ -64,15 +64,15 @@
 /// Hash of a prefix, the name under which engines cache it and publish events.
 ///
 /// ```
-/// use fake::model::{extend, prefix};
-/// assert_eq!(prefix(&[1, 2, 3]), extend(prefix(&[1]), &[2, 3]));
+/// use fake::model::{extend_hash, prefix_hash};
+/// assert_eq!(prefix_hash(&[1, 2, 3]), extend_hash(prefix_hash(&[1]), &[2, 3]));
 /// ```
-pub fn prefix(inputs: &[u64]) -> u64 {
-    extend(0, inputs)
+pub fn prefix_hash(inputs: &[u64]) -> u64 {
+    extend_hash(0, inputs)
 }
 
 /// Hash of a prefix of hash `prefix` followed by `inputs`.
-pub fn extend(prefix: u64, inputs: &[u64]) -> u64 {
+pub fn extend_hash(prefix: u64, inputs: &[u64]) -> u64 {
     inputs.iter().fold(prefix, |hash, input| mix([hash, *input]))
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// State of a session before its first position, one word a layer.
-    pub fn fresh(&self) -> Vec<u64> {
+    pub fn initial_state(&self) -> Vec<u64> {
         vec![0; self.seeds.len()]
     }
 
@@ -142,7 +142,7 @@
     max_tokens: usize,
 ) -> Vec<Token> {
     let range = Range::new(model, version, layers, 0, layers.saturating_sub(1));
-    let mut state = range.fresh();
+    let mut state = range.initial_state();
     let mut inputs = tokenize(prompt);
     let mut position = 0;
     let mut answer: Vec<Token> = Vec::new();
@@ -164,9 +164,9 @@
     format!("w{}{}{}", digit(2), digit(1), digit(0))
 }
 
-fn id(text: &str) -> u64 {
-    let own = text.strip_prefix('w').filter(|w| w.len() == WORD);
-    match own.and_then(|w| u64::from_str_radix(w, 36).ok()) {
+fn token_id(text: &str) -> u64 {
+    let digits = text.strip_prefix('w').filter(|w| w.len() == WORD_DIGITS);
+    match digits.and_then(|w| u64::from_str_radix(w, 36).ok()) {
         Some(id) if id < VOCAB && word(id) == text => id,
         _ => xxh3_64(text.as_bytes()) % VOCAB,
     }
--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -40,25 +40,25 @@
     }
 
     /// Text given for `name` in the query as it was sent, or an empty text.
-    pub fn text<'a>(&'a self, name: &'a str) -> &'a str {
+    pub fn query_text<'a>(&'a self, name: &'a str) -> &'a str {
         let value = |pair: &'a str| pair.split_once('=').filter(|p| p.0 == name);
         self.query.split('&').find_map(value).map_or("", |pair| pair.1)
     }
 
     /// Number given for `name` in the query, or zero.
-    pub fn number(&self, name: &str) -> u64 {
-        self.text(name).parse().unwrap_or(0)
+    pub fn query_number(&self, name: &str) -> u64 {
+        self.query_text(name).parse().unwrap_or(0)
     }
 
     /// The part of `items` that `from` and `limit` in the query ask for; by default all.
     ///
     /// A full book is longer than a client reads at once, so it is read in parts.
-    pub fn part<'a, T: Clone + 'a>(&self, items: impl Iterator<Item = &'a T>) -> Vec<T> {
-        let limit = match self.number("limit") {
+    pub fn page<'a, T: Clone + 'a>(&self, items: impl Iterator<Item = &'a T>) -> Vec<T> {
+        let limit = match self.query_number("limit") {
             0 => usize::MAX,
             limit => limit as usize,
         };
-        items.skip(self.number("from") as usize).take(limit).cloned().collect()
+        items.skip(self.query_number("from") as usize).take(limit).cloned().collect()
     }
 
     /// Value of a header, or an empty text.
@@ -68,7 +68,7 @@
 
     /// The body as JSON. A body that does not decode gives the 400 to answer with.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
-        serde_json::from_slice(&self.body).map_err(|e| Reply::refuse(400, &e.to_string()))
+        serde_json::from_slice(&self.body).map_err(|e| Reply::error(400, &e.to_string()))
     }
 }
 
@@ -82,7 +82,7 @@
     /// The caller's tag is that of the state now: 304 without a body.
     Unchanged,
     /// Nothing: the connection is closed.
-    Drop,
+    CloseConnection,
 }
 
 impl Reply {
@@ -94,7 +94,7 @@
     pub fn json<T: Serialize>(status: u16, body: &T) -> Reply {
         match serde_json::to_vec(body) {
             Ok(raw) => Reply::Json(status, raw),
-            Err(e) => Reply::refuse(500, &e.to_string()),
+            Err(e) => Reply::error(500, &e.to_string()),
         }
     }
 
@@ -108,29 +108,29 @@
                     false => Reply::Tagged(tag, raw),
                 }
             }
-            Err(e) => Reply::refuse(500, &e.to_string()),
+            Err(e) => Reply::error(500, &e.to_string()),
         }
     }
 
     /// An answer of 200 with the body `null`.
-    pub fn done() -> Reply {
+    pub fn ok() -> Reply {
         Reply::Json(200, b"null".to_vec())
     }
 
     /// A refusal with its reason.
     ///
     /// ```
-    /// let reply = fake::serve::Reply::refuse(404, "no session");
+    /// let reply = fake::serve::Reply::error(404, "no session");
     /// assert_eq!(reply, fake::serve::Reply::Json(404, b"{\"error\":\"no session\"}".to_vec()));
     /// ```
-    pub fn refuse(status: u16, reason: &str) -> Reply {
-        Reply::json(status, &Refusal { error: reason.to_string() })
+    pub fn error(status: u16, reason: &str) -> Reply {
+        Reply::json(status, &ErrorBody { error: reason.to_string() })
     }
 }
 
 /// Body of an answer that refuses.
 #[derive(Debug, Serialize)]
-struct Refusal {
+struct ErrorBody {
     error: String,
 }
 
@@ -183,7 +183,7 @@
 {
     let address = listener.local_addr()?;
     let acceptor = TcpAcceptor::try_from(listener)?;
-    let router = Router::with_path("{**rest}").goal(Goal(answer));
+    let router = Router::with_path("{**rest}").goal(CallHandler(answer));
     let http = Http::new(acceptor).disable_fuse();
     let task = tokio::spawn(async move { http.serve(router).await });
     Ok(Server { address, tasks: vec![task] })
@@ -195,16 +195,16 @@
 }
 
 /// Takes one from a counter of faults still to come; false when none is left.
-pub fn take(left: &mut u32) -> bool {
+pub fn take_one(left: &mut u32) -> bool {
     let some = *left > 0;
     *left = left.saturating_sub(1);
     some
 }
 
-struct Goal<F>(F);
+struct CallHandler<F>(F);
 
 #[async_trait]
-impl<F, A> Handler for Goal<F>
+impl<F, A> Handler for CallHandler<F>
 where
     F: Fn(Call) -> A + Send + Sync + 'static,
     A: Future<Output = Reply> + Send + 'static,
@@ -212,7 +212,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let reply = match read(req).await {
             Some(call) => (self.0)(call).await,
-            None => Reply::refuse(413, "the body is too long or was cut off"),
+            None => Reply::error(413, "the body is too long or was cut off"),
         };
         match reply {
             Reply::Json(status, body) => write(res, status, body),
@@ -225,7 +225,7 @@
             }
             // Unwinding ends this connection's task, which closes the connection without a
             // byte of an answer; the panic hook isn't run, so nothing is printed.
-            Reply::Drop => std::panic::resume_unwind(Box::new("answer dropped")),
+            Reply::CloseConnection => std::panic::resume_unwind(Box::new("answer dropped")),
         }
     }
 }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -12,10 +12,10 @@
 use crate::serve::{self, Call, Reply, Server};
 
 /// Writes the book holds; later ones are answered 507 and not recorded.
-pub const WRITES: usize = 200_000;
+pub const MAX_WRITES: usize = 200_000;
 
 /// Bytes of a body that the book keeps.
-pub const BODY_KEPT: usize = 1024;
+pub const MAX_BODY_BYTES: usize = 1024;
 
 /// How long a service waits for the one that holds its book.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
@@ -65,13 +65,13 @@
     pub path: String,
     /// xxh3 of the body in hexadecimal.
     pub hash: String,
-    /// Start of the body as text, at most [`BODY_KEPT`] bytes.
+    /// Start of the body as text, at most [`MAX_BODY_BYTES`] bytes.
     pub body: String,
 }
 
 /// Answer to a write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Written {
+pub struct Receipt {
     /// Place in the book.
     pub number: u64,
     /// Key of the write.
@@ -80,7 +80,7 @@
 
 /// Answer to a look-up.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Found {
+pub struct Lookup {
     /// Path that was asked for.
     pub path: String,
     /// Its last segment.
@@ -100,7 +100,7 @@
 
 /// Calls that this service has taken, whoever holds the book.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct CallCount {
     /// Look-ups and writes, also those that failed.
     pub calls: u64,
 }
@@ -140,42 +140,42 @@
 async fn route(service: &Service, call: &Call) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
         ("GET", ["~fake", "books"]) => {
-            let part = call.part(serve::lock(&service.state).writes.iter());
+            let part = call.page(serve::lock(&service.state).writes.iter());
             Ok(Reply::json(200, &part))
         }
         ("GET", ["~fake", "runs"]) => Ok(runs(&serve::lock(&service.state))),
         ("GET", ["~fake", "taken"]) => {
-            Ok(Reply::json(200, &Taken { calls: serve::lock(&service.state).calls }))
+            Ok(Reply::json(200, &CallCount { calls: serve::lock(&service.state).calls }))
         }
         ("GET", ["~fake", "requests"]) => Ok(requests(&serve::lock(&service.state))),
         ("POST", ["~fake", "control"]) => {
-            control(&mut serve::lock(&service.state), call.json()?);
-            Ok(Reply::done())
+            set_fault(&mut serve::lock(&service.state), call.json()?);
+            Ok(Reply::ok())
         }
         ("POST", ["~fake", "ledger"]) => record(&service.state, call.json()?),
         ("POST", ["~fake", "find"]) => Ok(Reply::json(200, &find(&service.state, call.json()?))),
-        (_, ["~fake", ..]) => Err(Reply::refuse(404, "no such path")),
+        (_, ["~fake", ..]) => Err(Reply::error(404, "no such path")),
         ("GET" | "HEAD", path) => look_up(service, call, path.last().unwrap_or(&"")).await,
         ("POST" | "PUT" | "PATCH" | "DELETE", _) => write(service, call).await,
-        _ => Err(Reply::refuse(405, "no such method")),
+        _ => Err(Reply::error(405, "no such method")),
     }
 }
 
 async fn look_up(service: &Service, call: &Call, key: &str) -> Result<Reply, Reply> {
-    pause(service).await?;
+    delay_answer(service).await?;
     let query = Runs { key: key.to_string(), runs: 0 };
     let found: Runs = match &service.ledger {
-        Some(ledger) => ledger.post("/~fake/find", &query).await.map_err(pass_on)?,
+        Some(ledger) => ledger.post("/~fake/find", &query).await.map_err(ledger_error)?,
         None => find(&service.state, query),
     };
-    let found = Found { path: call.path.clone(), key: found.key, recorded: found.runs > 0 };
+    let found = Lookup { path: call.path.clone(), key: found.key, recorded: found.runs > 0 };
     Ok(Reply::json(200, &found))
 }
 
 async fn write(service: &Service, call: &Call) -> Result<Reply, Reply> {
-    pause(service).await?;
-    if serve::take(&mut serve::lock(&service.state).fail_next) {
-        return Err(Reply::refuse(500, "failed before the write"));
+    delay_answer(service).await?;
+    if serve::take_one(&mut serve::lock(&service.state).fail_next) {
+        return Err(Reply::error(500, "failed before the write"));
     }
     let write = Write {
         number: 0,
@@ -185,31 +185,33 @@
         method: call.method.clone(),
         path: call.path.clone(),
         hash: format!("{:016x}", xxh3_64(&call.body)),
-        body: String::from_utf8_lossy(&call.body[..call.body.len().min(BODY_KEPT)]).into_owned(),
+        body: String::from_utf8_lossy(&call.body[..call.body.len().min(MAX_BODY_BYTES)])
+            .into_owned(),
     };
     let reply = match &service.ledger {
         Some(ledger) => {
-            let written: Written = ledger.post("/~fake/ledger", &write).await.map_err(pass_on)?;
+            let written: Receipt =
+                ledger.post("/~fake/ledger", &write).await.map_err(ledger_error)?;
             Reply::json(201, &written)
         }
         None => record(&service.state, write)?,
     };
     let stall = serve::lock(&service.state).stall;
     tokio::time::sleep(stall).await;
-    match serve::take(&mut serve::lock(&service.state).lose_answers) {
-        true => Err(Reply::Drop),
+    match serve::take_one(&mut serve::lock(&service.state).lose_answers) {
+        true => Err(Reply::CloseConnection),
         false => Ok(reply),
     }
 }
 
-async fn pause(service: &Service) -> Result<(), Reply> {
+async fn delay_answer(service: &Service) -> Result<(), Reply> {
     let (down, delay) = {
         let mut state = serve::lock(&service.state);
         state.calls += 1;
         (state.down, state.delay)
     };
     match down {
-        true => Err(Reply::Drop),
+        true => Err(Reply::CloseConnection),
         false => {
             tokio::time::sleep(delay).await;
             Ok(())
@@ -219,8 +221,8 @@
 
 fn record(state: &Arc<Mutex<State>>, write: Write) -> Result<Reply, Reply> {
     let mut state = serve::lock(state);
-    if state.writes.len() >= WRITES {
-        return Err(Reply::refuse(507, "the book is full"));
+    if state.writes.len() >= MAX_WRITES {
+        return Err(Reply::error(507, "the book is full"));
     }
     let number = state.writes.len() as u64;
     let key = write.key.clone();
@@ -229,7 +231,7 @@
         Err(i) => state.runs.insert(i, Runs { key: key.clone(), runs: 1 }),
     }
     state.writes.push(Write { number, ..write });
-    Ok(Reply::json(201, &Written { number, key }))
+    Ok(Reply::json(201, &Receipt { number, key }))
 }
 
 fn find(state: &Arc<Mutex<State>>, query: Runs) -> Runs {
@@ -248,7 +250,7 @@
     Reply::json(200, &state.writes.iter().map(|w| w.request.as_str()).collect::<Vec<_>>())
 }
 
-fn control(state: &mut State, fault: Fault) {
+fn set_fault(state: &mut State, fault: Fault) {
     state.lose_answers = fault.lose_answers.unwrap_or(state.lose_answers);
     state.fail_next = fault.fail_next.unwrap_or(state.fail_next);
     state.delay = fault.delay_ms.map_or(state.delay, Duration::from_millis);
@@ -257,10 +259,10 @@
 }
 
 /// A book that gave no answer may hold the write: the caller gets no answer either.
-fn pass_on(e: rest::Error) -> Reply {
+fn ledger_error(e: rest::Error) -> Reply {
     match e.status() {
-        Some(status) => Reply::refuse(status, &e.to_string()),
-        None if e.unsent() => Reply::refuse(503, &e.to_string()),
-        None => Reply::Drop,
+        Some(status) => Reply::error(status, &e.to_string()),
+        None if e.unsent() => Reply::error(503, &e.to_string()),
+        None => Reply::CloseConnection,
     }
 }
--- a/crates/fake/src/vms.rs
+++ b/crates/fake/src/vms.rs
@@ -11,7 +11,7 @@
 use crate::serve::{self, Call, Reply, Server};
 
 /// Changes that may wait for the lag; beyond it the oldest is shown early.
-const CHANGES: usize = 100_000;
+const MAX_PENDING_CHANGES: usize = 100_000;
 
 /// Command line of the VM list.
 #[derive(Debug, Clone, clap::Args)]
@@ -35,7 +35,7 @@
 
 /// What the VM list holds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Books {
+pub struct Stats {
     /// VMs as they are, without the lag.
     pub vms: Vec<Entry>,
     /// Reads answered.
@@ -51,9 +51,9 @@
     lag: Duration,
     outage: bool,
     hide: f64,
-    seen: Vec<Entry>,
-    waiting: VecDeque<(Instant, Change)>,
-    books: Books,
+    visible: Vec<Entry>,
+    pending: VecDeque<(Instant, Change)>,
+    stats: Stats,
 }
 
 /// Serves a VM list on `listener`.
@@ -62,9 +62,9 @@
         lag: Duration::from_millis(options.lag_ms),
         outage: false,
         hide: 0.0,
-        seen: Vec::new(),
-        waiting: VecDeque::new(),
-        books: Books::default(),
+        visible: Vec::new(),
+        pending: VecDeque::new(),
+        stats: Stats::default(),
     }));
     serve::start(listener, move |call| {
         let reply = route(&mut serve::lock(&list), &call);
@@ -74,48 +74,48 @@
 
 fn route(list: &mut List, call: &Call) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
-        ("GET", ["v1", "vms"]) if list.outage => Err(Reply::refuse(503, "outage")),
+        ("GET", ["v1", "vms"]) if list.outage => Err(Reply::error(503, "outage")),
         ("GET", ["v1", "vms"]) => {
-            catch_up(list, Instant::now());
-            list.books.reads += 1;
-            let hidden = (list.seen.len() as f64 * list.hide).round() as usize;
-            Ok(Reply::tagged(call, &&list.seen[hidden.min(list.seen.len())..]))
+            apply_due_changes(list, Instant::now());
+            list.stats.reads += 1;
+            let hidden = (list.visible.len() as f64 * list.hide).round() as usize;
+            Ok(Reply::tagged(call, &&list.visible[hidden.min(list.visible.len())..]))
         }
         ("PUT", ["v1", "vms", vm]) => {
             let entry: Entry = call.json()?;
             match entry.vm == *vm {
-                true => Ok(change(list, Change::Put(entry))),
-                false => Err(Reply::refuse(400, "the entry names another VM")),
+                true => Ok(record_change(list, Change::Put(entry))),
+                false => Err(Reply::error(400, "the entry names another VM")),
             }
         }
-        ("DELETE", ["v1", "vms", vm]) => Ok(change(list, Change::Remove(vm.to_string()))),
-        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &list.books)),
+        ("DELETE", ["v1", "vms", vm]) => Ok(record_change(list, Change::Remove(vm.to_string()))),
+        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &list.stats)),
         ("POST", ["~fake", "control"]) => {
             let fault: Fault = call.json()?;
             list.lag = fault.lag_ms.map_or(list.lag, Duration::from_millis);
             list.outage = fault.outage.unwrap_or(list.outage);
             list.hide = fault.hide.unwrap_or(list.hide);
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
-fn change(list: &mut List, change: Change) -> Reply {
+fn record_change(list: &mut List, change: Change) -> Reply {
     let now = Instant::now();
-    apply(&mut list.books.vms, &change);
-    list.waiting.push_back((now, change));
-    catch_up(list, now);
-    Reply::done()
+    apply(&mut list.stats.vms, &change);
+    list.pending.push_back((now, change));
+    apply_due_changes(list, now);
+    Reply::ok()
 }
 
-fn catch_up(list: &mut List, now: Instant) {
-    while let Some((at, change)) = list.waiting.pop_front() {
-        if now < at + list.lag && list.waiting.len() < CHANGES {
-            list.waiting.push_front((at, change));
+fn apply_due_changes(list: &mut List, now: Instant) {
+    while let Some((at, change)) = list.pending.pop_front() {
+        if now < at + list.lag && list.pending.len() < MAX_PENDING_CHANGES {
+            list.pending.push_front((at, change));
             return;
         }
-        apply(&mut list.seen, &change);
+        apply(&mut list.visible, &change);
     }
 }
 
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -34,7 +34,7 @@
 
 /// What the weight store did.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Books {
+pub struct Stats {
     /// Layers handed out.
     pub fetched: u64,
     /// Fetches refused for the rate.
@@ -44,13 +44,13 @@
 struct Store {
     bucket: Bucket,
     outage: bool,
-    books: Books,
+    stats: Stats,
 }
 
 /// Serves a weight store on `listener`.
 pub fn start(listener: TcpListener, options: Options) -> std::io::Result<Server> {
     let bucket = Bucket::new(options.rate, BURST, Instant::now());
-    let store = Arc::new(Mutex::new(Store { bucket, outage: false, books: Books::default() }));
+    let store = Arc::new(Mutex::new(Store { bucket, outage: false, stats: Stats::default() }));
     serve::start(listener, move |call| {
         let reply = route(&mut serve::lock(&store), &call);
         async move { reply.unwrap_or_else(|refusal| refusal) }
@@ -60,30 +60,30 @@
 fn route(store: &mut Store, call: &Call) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
         ("GET", ["v1", "weights", model, version, layer]) => fetch(store, model, version, layer),
-        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &store.books)),
+        ("GET", ["~fake", "books"]) => Ok(Reply::json(200, &store.stats)),
         ("POST", ["~fake", "control"]) => {
             let fault: Fault = call.json()?;
             store.outage = fault.outage.unwrap_or(store.outage);
             if let Some(rate) = fault.rate {
                 store.bucket = Bucket::new(rate, BURST, Instant::now());
             }
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
 fn fetch(store: &mut Store, model: &str, version: &str, layer: &str) -> Result<Reply, Reply> {
-    let number = |text: &str| text.parse().map_err(|_| Reply::refuse(400, "not a number"));
+    let number = |text: &str| text.parse().map_err(|_| Reply::error(400, "not a number"));
     let (version, layer) = (number(version)?, number(layer)?);
     match store.outage {
-        true => Err(Reply::refuse(503, "outage")),
+        true => Err(Reply::error(503, "outage")),
         false if !store.bucket.take(Instant::now()) => {
-            store.books.refused += 1;
-            Err(Reply::refuse(429, "over the rate"))
+            store.stats.refused += 1;
+            Err(Reply::error(429, "over the rate"))
         }
         false => {
-            store.books.fetched += 1;
+            store.stats.fetched += 1;
             let seed = model::seed(model, version, layer);
             Ok(Reply::json(200, &Layer { model: model.to_string(), version, layer, seed }))
         }
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -5,7 +5,7 @@
 
 use clap::{Args, FromArgMatches};
 use engine::{Client, Order, Session, Step};
-use fake::engine::{Fault, Options, book::Books};
+use fake::engine::{Fault, Options, history::History};
 use fake::serve::Server;
 use fake::{model, serve, weights};
 use rstest::rstest;
@@ -30,7 +30,7 @@
     Session { session: id.to_string(), priority: 1, tag: String::new() }
 }
 
-async fn books(server: &Server) -> Books {
+async fn history(server: &Server) -> History {
     rest::Client::new(&server.url(), TIMEOUT).get("/~fake/books?limit=1").await.unwrap()
 }
 
@@ -63,10 +63,10 @@
     }
     assert_eq!(answer, model::expected_answer("m", 1, 12, "a batch of wristbands", 5));
     for (server, _) in &stages {
-        let books = books(server).await;
-        assert_eq!(books.layer_runs, 4 * u64::from(position));
-        assert_eq!(books.sessions[0].positions(), u64::from(position));
-        assert_eq!(books.sessions[0].repeated(), None);
+        let history = history(server).await;
+        assert_eq!(history.layer_runs, 4 * u64::from(position));
+        assert_eq!(history.sessions[0].positions(), u64::from(position));
+        assert_eq!(history.sessions[0].repeated_position(), None);
     }
 }
 
@@ -90,8 +90,8 @@
     control(&server, Fault { hang: Some(false), ..Fault::default() }).await;
     let outputs = steps.join_all().await;
     assert!(outputs.iter().all(|o| o.outputs.len() == 2 && o.token.is_some()));
-    let books = books(&server).await;
-    assert_eq!((books.positions, books.batches), (40, 5));
+    let history = history(&server).await;
+    assert_eq!((history.positions, history.batches), (40, 5));
     let full = client.open(&session("one more")).await.unwrap_err();
     assert_eq!(full.status(), Some(429));
 }
@@ -186,8 +186,8 @@
     }
     let outcome = client.order(&order(4, "old")).await;
     assert_eq!(outcome.err().and_then(|e| e.status()), case.status);
-    let books = books(&server).await;
-    assert_eq!(books.orders.len() + books.refused as usize, 2);
+    let history = history(&server).await;
+    assert_eq!(history.orders.len() + history.refused as usize, 2);
     client.cancel_all().await.unwrap();
 }
 
@@ -203,7 +203,7 @@
     }
     assert_eq!((outputs[0].cached, outputs[1].cached), (0, 32));
     assert_eq!(outputs[0].outputs, outputs[1].outputs);
-    assert_eq!(books(&server).await.cached, 32);
+    assert_eq!(history(&server).await.cached, 32);
 }
 
 // Cache events have gaps. A router that took them for complete would send work to an
@@ -218,10 +218,11 @@
         client.step(&id, &Step { position: 0, inputs: prompt(i).to_vec() }).await.unwrap();
     }
     // Four enter; after that each that enters is preceded by the oldest that leaves.
-    let mut all: Vec<(u64, bool)> = (0..4).map(|i| (model::prefix(&prompt(i)), true)).collect();
+    let mut all: Vec<(u64, bool)> =
+        (0..4).map(|i| (model::prefix_hash(&prompt(i)), true)).collect();
     for i in 4..50 {
-        all.push((model::prefix(&prompt(i - 4)), false));
-        all.push((model::prefix(&prompt(i)), true));
+        all.push((model::prefix_hash(&prompt(i - 4)), false));
+        all.push((model::prefix_hash(&prompt(i)), true));
     }
     let events = client.events(0).await.unwrap();
     assert!(events.iter().all(|e| all[e.number as usize] == (e.prefix, e.cached)));
--- a/crates/fake/tests/link.rs
+++ b/crates/fake/tests/link.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use fake::link::{self, Book, Fault, Link, Options};
+use fake::link::{self, Fault, Link, Options, RelayStats};
 use fake::serve::{self, Server};
 use rstest::rstest;
 use tokio::net::UdpSocket;
@@ -41,16 +41,16 @@
     }
 
     /// Books of the relay to the far process.
-    async fn book(&self) -> Book {
-        let books: Vec<Book> = self.http.get("/~fake/books").await.unwrap();
-        books.into_iter().find(|b| b.link.listen == self.to_far).unwrap()
+    async fn stats(&self) -> RelayStats {
+        let relays: Vec<RelayStats> = self.http.get("/~fake/books").await.unwrap();
+        relays.into_iter().find(|b| b.link.listen == self.to_far).unwrap()
     }
 
     /// Waits until the relay to the far process has seen `count` datagrams.
-    async fn received(&self, count: u64) -> Book {
+    async fn received(&self, count: u64) -> RelayStats {
         loop {
-            match self.book().await {
-                book if book.count.received >= count => return book,
+            match self.stats().await {
+                stats if stats.count.received >= count => return stats,
                 _ => tokio::task::yield_now().await,
             }
         }
@@ -131,10 +131,10 @@
     w.near.send_to(b"held", w.to_far).await.unwrap();
     w.received(101).await;
     w.set(slow(0, true)).await;
-    while w.book().await.count.cut == 0 {
+    while w.stats().await.count.cut == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let count = w.book().await.count;
+    let count = w.stats().await.count;
     assert_eq!((count.cut, count.delivered), (1, 100));
 }
 
@@ -154,7 +154,7 @@
         w.near.send_to(&i.to_be_bytes(), w.to_far).await.unwrap();
         w.received(u64::from(i) + 1).await;
     }
-    let count = w.book().await.count;
+    let count = w.stats().await.count;
     assert!(count.lost > 20 && count.doubled > 20, "{count:?}");
     assert_ne!(w.to_near, w.to_far);
     for _ in 0..200 - count.lost + count.doubled {
--- a/crates/fake/tests/model.rs
+++ b/crates/fake/tests/model.rs
@@ -8,7 +8,7 @@
 
 /// Runs the model range by range, as a chain of engines does.
 fn staged(ranges: &[Range], tokens: usize) -> Vec<engine::Token> {
-    let mut states: Vec<Vec<u64>> = ranges.iter().map(Range::fresh).collect();
+    let mut states: Vec<Vec<u64>> = ranges.iter().map(Range::initial_state).collect();
     let mut inputs = tokenize(PROMPT);
     let mut position = 0;
     let mut answer: Vec<engine::Token> = Vec::new();
--- a/crates/fake/tests/service.rs
+++ b/crates/fake/tests/service.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use fake::serve::{self, Server};
-use fake::service::{self, Fault, Found, Options, Write};
+use fake::service::{self, Fault, Lookup, Options, Write};
 use rstest::rstest;
 
 fn start(ledger: Option<String>) -> (Server, rest::Client) {
@@ -56,7 +56,7 @@
     assert_eq!(order(&client, "k1").await, case.status);
     let up = Fault { down: Some(false), ..Fault::default() };
     let () = client.post("/~fake/control", &up).await.unwrap();
-    let found: Found = client.get("/orders/k1").await.unwrap();
+    let found: Lookup = client.get("/orders/k1").await.unwrap();
     assert_eq!((found.key.as_str(), found.recorded), ("k1", case.recorded));
     let books: Vec<Write> = client.get("/~fake/books").await.unwrap();
     assert_eq!(books.len(), usize::from(case.recorded));
@@ -71,7 +71,7 @@
     assert_eq!(order(&other, "k2").await, Some(201));
     let runs: HashMap<String, u64> = client.get("/~fake/runs").await.unwrap();
     assert_eq!((runs["k1"], runs["k2"]), (2, 1));
-    let found: Found = other.get("/orders/k2").await.unwrap();
+    let found: Lookup = other.get("/orders/k2").await.unwrap();
     assert!(found.recorded);
     let books: Vec<Write> = client.get("/~fake/books").await.unwrap();
     let numbers: Vec<u64> = books.iter().map(|w| w.number).collect();
--- a/crates/scenario/src/expect.rs
+++ b/crates/scenario/src/expect.rs
@@ -1,6 +1,6 @@
-//! What `expect` states, judged on outcomes, books and figures.
+//! What `expect` states, judged on outcomes, history and figures.
 
-use crate::books::{self, Books};
+use crate::history::{self, History};
 use crate::outcome::Outcome;
 use crate::script::Expect;
 use crate::table;
@@ -13,15 +13,15 @@
 pub struct Facts<'a> {
     /// Requests that ended.
     pub outcomes: &'a [Outcome],
-    /// Books.
-    pub books: &'a Books,
+    /// History.
+    pub history: &'a History,
     /// Layers of the model.
     pub layers: u32,
     /// Crashes of backend servers.
     pub crashes: usize,
 }
 
-/// Judges a statement on requests and books; `None` when it is about something else.
+/// Judges a statement on requests and history; `None` when it is about something else.
 pub fn judge(what: &Expect, facts: &Facts<'_>) -> Option<Result<(), String>> {
     let all = table::count(facts.outcomes, |o| !o.judged);
     let verdict = match what {
@@ -31,24 +31,24 @@
             let first = first.map_or(String::new(), |o| format!(": {} {}", o.id, o.verdict.line()));
             require(part >= *min, format!("{part:.4} of {} were answered right{first}", all.sent))
         }
-        Expect::Right => none(books::answers(facts.outcomes)),
-        Expect::NoneDoubled => none(books::doubled(&facts.books.runs)),
+        Expect::Right => none(history::answers(facts.outcomes)),
+        Expect::NoneDoubled => none(history::doubled(&facts.history.runs)),
         Expect::Runs { key, times } => {
-            let runs = &facts.books.runs;
+            let runs = &facts.history.runs;
             let at = runs.binary_search_by(|(k, _)| k.as_str().cmp(key));
             let found = at.map_or(0, |i| runs[i].1);
             require(found == *times, format!("{key} ran {found} times"))
         }
-        Expect::NotRunTrue => none(books::run_all_the_same(facts.outcomes, facts.books)),
+        Expect::NotRunTrue => none(history::run_all_the_same(facts.outcomes, facts.history)),
         Expect::LayerRuns { value, max } => layer_runs(*value, *max, facts),
         Expect::Cut { max } => require(all.lost <= *max, format!("{} were cut or lost", all.lost)),
         Expect::Unknown { max } => {
             require(all.unknown <= *max, format!("{} ended as unknown", all.unknown))
         }
         Expect::Loads { min, max } => {
-            let engines = &facts.books.engines;
+            let engines = &facts.history.engines;
             let n: usize = engines.iter().map(|e| e.orders.len()).sum();
-            let rising = |e: &books::Engine| e.orders.is_sorted_by(|a, b| a.fence < b.fence);
+            let rising = |e: &history::Engine| e.orders.is_sorted_by(|a, b| a.fence < b.fence);
             let holds = (*min..=*max).contains(&n) && engines.iter().all(rising);
             require(holds, format!("{n} orders; fencing numbers must rise"))
         }
@@ -62,7 +62,7 @@
 }
 
 fn layer_runs(value: Option<f64>, max: Option<f64>, facts: &Facts<'_>) -> Result<(), String> {
-    let runs = books::layer_runs(facts.outcomes, &facts.books.engines, facts.layers);
+    let runs = history::layer_runs(facts.outcomes, &facts.history.engines, facts.layers);
     let exact = value.is_none_or(|v| (runs - v).abs() < ROUNDING);
     let below = max.is_none_or(|m| runs <= m + ROUNDING);
     require(exact && below, format!("{runs:.3} layer runs per token and layer"))
@@ -72,7 +72,7 @@
     if holds { Ok(()) } else { Err(found) }
 }
 
-fn none(breaches: Vec<books::Breach>) -> Result<(), String> {
+fn none(breaches: Vec<history::Breach>) -> Result<(), String> {
     match breaches.first() {
         None => Ok(()),
         Some(first) => Err(format!("{} breaches, the first: {first}", breaches.len())),
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -11,7 +11,7 @@
 use cloud::vm::{Entry, Role, State};
 
 use crate::binary::Place;
-use crate::books::{self, Books, Engine};
+use crate::history::{self, Engine, History};
 use crate::model;
 use crate::process::{Process, READY, Wanted};
 use crate::script;
@@ -38,7 +38,7 @@
     pub processes: Vec<Process>,
     /// Addresses of the platform.
     pub platform: Platform,
-    /// Books of engines that were killed.
+    /// History of engines that were killed.
     pub kept: Vec<Engine>,
     /// Text of the fleet settings as published last.
     pub text: String,
@@ -297,12 +297,12 @@
         if !matches!(vm.backend, Backend::Engine(..)) {
             return Err(format!("{} has no engine", vm.name));
         }
-        let book = books::engine(&vm.backend_http(), &vm.name).await;
+        let book = history::engine(&vm.backend_http(), &vm.name).await;
         book.map_err(|e| format!("book of {}: {e}", vm.name))
     }
 
-    /// Reads all books; the books of engines that do not live are those kept from before.
-    pub async fn books(&mut self) -> Result<Books, String> {
+    /// Reads all history; the history of engines that do not live are those kept from before.
+    pub async fn history(&mut self) -> Result<History, String> {
         let mut engines = self.kept.clone();
         for vm in self.vms.clone() {
             let Backend::Engine(..) = vm.backend else { continue };
@@ -311,9 +311,9 @@
                 engines.push(self.book(&vm).await?);
             }
         }
-        let runs = books::runs(&self.platform.ledger).await.map_err(|e| e.to_string())?;
-        let requests = books::requests(&self.platform.ledger).await.map_err(|e| e.to_string())?;
-        Ok(Books { engines, runs, requests })
+        let runs = history::runs(&self.platform.ledger).await.map_err(|e| e.to_string())?;
+        let requests = history::requests(&self.platform.ledger).await.map_err(|e| e.to_string())?;
+        Ok(History { engines, runs, requests })
     }
 
     /// Names of processes that should live and don't.
@@ -322,7 +322,7 @@
         self.processes.iter_mut().filter_map(|p| dead(p).then(|| p.name.clone())).collect()
     }
 
-    /// Lets everything go on that is frozen, so that its books can be read.
+    /// Lets everything go on that is frozen, so that its history can be read.
     pub fn thaw_all(&mut self) -> Result<(), String> {
         for p in self.processes.iter_mut().filter(|p| p.wanted == Wanted::Frozen) {
             p.thaw()?;
--- a/crates/scenario/src/books.rs
+++ b/crates/scenario/src/history.rs
@@ -1,11 +1,11 @@
-//! The stand-ins' own books, and the invariants they must show.
+//! The stand-ins' own history, and the invariants they must show.
 //!
-//! The checks are plain functions of books and outcomes, so tests can plant violations.
+//! The checks are plain functions of history and outcomes, so tests can plant violations.
 
 use std::time::Duration;
 
 use derive_more::Display;
-use fake::engine::book::{self, Opened};
+use fake::engine::history::{self, SessionRuns};
 
 use crate::outcome::{Kind, Outcome, Verdict};
 
@@ -16,7 +16,7 @@
 /// `request.attempt.first`; the request id holds dots itself.
 ///
 /// ```
-/// assert_eq!(scenario::books::request("gpu-0-1.7.x.2.4"), "gpu-0-1.7.x");
+/// assert_eq!(scenario::history::request("gpu-0-1.7.x.2.4"), "gpu-0-1.7.x");
 /// ```
 pub fn request(session: &str) -> &str {
     session.rsplitn(3, '.').nth(2).unwrap_or(session)
@@ -28,7 +28,7 @@
     /// Its VM.
     pub vm: String,
     /// All sessions since it started.
-    pub sessions: Vec<Opened>,
+    pub sessions: Vec<SessionRuns>,
     /// Orders it took.
     pub orders: Vec<engine::Order>,
     /// Batches run.
@@ -40,9 +40,9 @@
 /// Runs of each key at the plain services, sorted by key.
 pub type Runs = Vec<(String, u32)>;
 
-/// All books at one moment.
+/// All history at one moment.
 #[derive(Debug, Clone, Default)]
-pub struct Books {
+pub struct History {
     /// Engines, also those that were killed, as read just before.
     pub engines: Vec<Engine>,
     /// Plain services.
@@ -95,7 +95,7 @@
 /// The part of a request id that stays the same when a draft is offered to another head.
 ///
 /// ```
-/// assert_eq!(scenario::books::unique("gpu-0-1.7.x"), "x");
+/// assert_eq!(scenario::history::unique("gpu-0-1.7.x"), "x");
 /// ```
 pub fn unique(request: &str) -> &str {
     request.rsplit('.').next().unwrap_or(request)
@@ -107,14 +107,14 @@
 /// looked for by the part of its id that stays the same. Each sending of an order has
 /// an id of its own, which the service notes, so that one sending's run is not taken
 /// for another's of the same key.
-pub fn run_all_the_same(outcomes: &[Outcome], books: &Books) -> Vec<Breach> {
-    let sessions = books.engines.iter().flat_map(|e| &e.sessions);
+pub fn run_all_the_same(outcomes: &[Outcome], history: &History) -> Vec<Breach> {
+    let sessions = history.engines.iter().flat_map(|e| &e.sessions);
     let worked = sessions.filter(|s| !s.runs.is_empty());
     let mut ran: Vec<&str> = worked.map(|s| unique(request(&s.session))).collect();
     ran.sort_unstable();
     let stands = |kind: Kind, id: &str| match kind {
         Kind::Draft => ran.binary_search(&unique(id)).is_ok(),
-        Kind::Order => books.requests.binary_search_by(|r| r.as_str().cmp(id)).is_ok(),
+        Kind::Order => history.requests.binary_search_by(|r| r.as_str().cmp(id)).is_ok(),
         Kind::Lookup => false,
     };
     let told = outcomes.iter().flat_map(|o| o.not_run.iter().map(|id| (o.kind, id)));
@@ -167,8 +167,8 @@
 
 /// Reads an engine's book.
 pub async fn engine(base: &str, vm: &str) -> Result<Engine, rest::Error> {
-    let page: book::Books = rest::Client::new(base, READ).get("/~fake/books").await?;
-    let book::Books { sessions, orders, batches, busy_us, .. } = page;
+    let page: history::History = rest::Client::new(base, READ).get("/~fake/books").await?;
+    let history::History { sessions, orders, batches, busy_us, .. } = page;
     Ok(Engine { vm: vm.to_string(), sessions, orders, batches, busy_us })
 }
 
@@ -188,6 +188,6 @@
 
 /// Reads how many calls the service at `base` has taken.
 pub async fn taken(base: &str) -> Result<u64, rest::Error> {
-    let taken: fake::service::Taken = rest::Client::new(base, READ).get("/~fake/taken").await?;
+    let taken: fake::service::CallCount = rest::Client::new(base, READ).get("/~fake/taken").await?;
     Ok(taken.calls)
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -3,10 +3,10 @@
 //! A script ([`script`]) is one verb a line. The player ([`player`]) starts the
 //! fleet ([`fleet`]), sends requests as good clients do ([`draft`], [`mod@write`]),
 //! brings faults ([`fault`]), and at the end judges answers and the stand-ins'
-//! own books ([`books`]) by invariants that hold whatever happened.
+//! own history ([`history`]) by invariants that hold whatever happened.
 
 pub mod binary;
-pub mod books;
+pub mod history;
 pub mod caller;
 pub mod draft;
 pub mod expect;
--- a/crates/scenario/src/player/judge.rs
+++ b/crates/scenario/src/player/judge.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use super::Player;
-use crate::books;
 use crate::expect::{self, Facts};
 use crate::fleet::Fleet;
+use crate::history;
 use crate::outcome::{Outcome, Verdict};
 use crate::publish;
 use crate::recovery;
@@ -43,11 +43,11 @@
             _ => {}
         }
         let fleet = &mut *shared.lock().await;
-        let books = fleet.books().await?;
+        let history = fleet.history().await?;
         let outcomes = self.record.outcomes();
         let facts = Facts {
             outcomes: &outcomes,
-            books: &books,
+            history: &history,
             layers: settings::layers(&fleet.plan),
             crashes: watch::crashes(fleet),
         };
@@ -67,13 +67,13 @@
             self.failures.push(format!("{name} should live and ended"));
         }
         let outcomes = self.record.outcomes();
-        let books = fleet.books().await?;
+        let history = fleet.history().await?;
         let breaches = [
-            books::answers(&outcomes),
-            books::doubled(&books.runs),
-            books::order(&books.engines),
-            books::run_all_the_same(&outcomes, &books),
-            books::missing(&outcomes, &books.runs),
+            history::answers(&outcomes),
+            history::doubled(&history.runs),
+            history::order(&history.engines),
+            history::run_all_the_same(&outcomes, &history),
+            history::missing(&outcomes, &history.runs),
         ];
         self.failures.extend(breaches.concat().iter().map(|b| b.to_string()));
         self.failures.extend(trace::fell(&self.applied(fleet)));
@@ -89,7 +89,7 @@
     pub(super) async fn table(&self) -> Result<String, String> {
         let shared = self.fleet()?;
         let fleet = &mut *shared.lock().await;
-        let books = fleet.books().await?;
+        let history = fleet.history().await?;
         let outcomes = self.record.outcomes();
         let mut notes = self.notes.clone();
         notes.extend(repeat::line(&outcomes, &fleet.platform.log).await);
@@ -101,7 +101,7 @@
         Ok(table::render(&Figures {
             plan: &fleet.plan,
             outcomes: &outcomes,
-            books: &books,
+            history: &history,
             drafting: self.record.drafting(),
             notes: &notes,
         }))
--- a/crates/scenario/src/script/verb.rs
+++ b/crates/scenario/src/script/verb.rs
@@ -40,7 +40,7 @@
         /// VM.
         vm: String,
     },
-    /// Kills the backend server of a VM at once (SIGKILL); its books are read just before.
+    /// Kills the backend server of a VM at once (SIGKILL); its history are read just before.
     KillEngine {
         /// VM.
         vm: String,
--- a/crates/scenario/src/single.rs
+++ b/crates/scenario/src/single.rs
@@ -23,7 +23,7 @@
     let part = line.number.unwrap_or(part);
     // Engines die of a session whose tag holds this word; the agent's tag holds the prompt.
     let name = match line.crash {
-        true => format!("{}-{part}", fake::engine::CRASH),
+        true => format!("{}-{part}", fake::engine::CRASH_TAG),
         false => format!("single-{part}"),
     };
     let prompt = load::prompt(&mut load::random(part, 0), &name, line.prompt_words);
--- a/crates/scenario/src/table.rs
+++ b/crates/scenario/src/table.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 
-use crate::books::{self, Books};
+use crate::history::{self, History};
 use crate::outcome::{Kind, Outcome, Verdict};
 use crate::script;
 
@@ -69,8 +69,8 @@
     pub plan: &'a script::Fleet,
     /// Requests that ended.
     pub outcomes: &'a [Outcome],
-    /// Books.
-    pub books: &'a Books,
+    /// History.
+    pub history: &'a History,
     /// From the first draft sent to the last one ended.
     pub drafting: Duration,
     /// Lines that verbs left, such as times of recovery.
@@ -86,7 +86,7 @@
         "{:<9}{:>7}{:>15}{:>7}{:>9}{:>9}{:>6}{:>9}",
         "", "sent", "answered right", "wrong", "refused", "unknown", "lost", "doubled"
     );
-    let doubled = books::doubled(&figures.books.runs).len();
+    let doubled = history::doubled(&figures.history.runs).len();
     for (name, kind) in
         [("drafts", Kind::Draft), ("look-ups", Kind::Lookup), ("orders", Kind::Order)]
     {
@@ -136,9 +136,9 @@
     let _ =
         writeln!(text, "first token    {}", quantiles(drafts().filter_map(Outcome::first_token)));
     let _ = writeln!(text, "between tokens {}", quantiles(drafts().flat_map(Outcome::gaps)));
-    let runs = books::layer_runs(
+    let runs = history::layer_runs(
         figures.outcomes,
-        &figures.books.engines,
+        &figures.history.engines,
         crate::settings::layers(figures.plan),
     );
     text.push_str(&shares(figures.outcomes));
@@ -173,8 +173,8 @@
 
 /// How full the engines were: what is missing is idle time or batches that were not full.
 fn engines(figures: &Figures<'_>, steps: u64, secs: f64) -> String {
-    let engines = &figures.books.engines;
-    let busy = |e: &books::Engine| format!("{} {:.0}%", e.vm, e.busy_us as f64 / 1e4 / secs);
+    let engines = &figures.history.engines;
+    let busy = |e: &history::Engine| format!("{} {:.0}%", e.vm, e.busy_us as f64 / 1e4 / secs);
     let lines: Vec<String> = engines.iter().map(busy).collect();
     let batches: u64 = engines.iter().map(|e| e.batches).sum();
     let each = (steps * figures.plan.ranges.len() as u64) as f64 / batches.max(1) as f64;
--- a/crates/scenario/src/watch.rs
+++ b/crates/scenario/src/watch.rs
@@ -6,8 +6,8 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-use crate::books;
 use crate::fleet::{Backend, Fleet, Vm};
+use crate::history;
 use crate::player::WAIT;
 use crate::process::Wanted;
 
@@ -96,10 +96,10 @@
 async fn works_begun(vm: &Vm) -> Result<u64, rest::Error> {
     match vm.backend {
         Backend::Engine(..) => {
-            let book = books::engine(&vm.backend_http(), &vm.name).await?;
+            let book = history::engine(&vm.backend_http(), &vm.name).await?;
             Ok(book.sessions.len() as u64)
         }
-        _ => books::taken(&vm.backend_http()).await,
+        _ => history::taken(&vm.backend_http()).await,
     }
 }
 
@@ -136,7 +136,7 @@
     }
     let began = Instant::now();
     while began.elapsed() < WAIT {
-        let book = books::engine(&vm.backend_http(), &vm.name).await;
+        let book = history::engine(&vm.backend_http(), &vm.name).await;
         if book.is_ok_and(|b| !b.sessions.is_empty()) {
             return Ok(());
         }
--- a/crates/scenario/tests/invariants.rs
+++ b/crates/scenario/tests/invariants.rs
@@ -2,17 +2,17 @@
 
 use std::time::{Duration, Instant};
 
-use fake::engine::book::{Opened, Run};
+use fake::engine::history::{Run, SessionRuns};
 use rstest::rstest;
-use scenario::books::{self, Books, Engine};
 use scenario::expect::{self, Facts};
+use scenario::history::{self, Engine, History};
 use scenario::outcome::{Kind, Outcome, Verdict};
 use scenario::recovery;
 use scenario::script::Expect;
 
-fn opened(session: &str, runs: &[(u32, u32)]) -> Opened {
+fn opened(session: &str, runs: &[(u32, u32)]) -> SessionRuns {
     let runs = runs.iter().map(|(start, count)| Run { start: *start, count: *count }).collect();
-    Opened {
+    SessionRuns {
         session: session.to_string(),
         tag: String::new(),
         model: "draft".to_string(),
@@ -23,7 +23,7 @@
     }
 }
 
-fn engine(sessions: Vec<Opened>) -> Engine {
+fn engine(sessions: Vec<SessionRuns>) -> Engine {
     Engine { vm: "gpu-0-1".to_string(), sessions, ..Engine::default() }
 }
 
@@ -45,7 +45,7 @@
 #[case::skipped(Runs { runs: &[(0, 5), (6, 3)], holds: false })]
 #[case::backwards(Runs { runs: &[(3, 2), (0, 3)], holds: false })]
 fn positions_out_of_order_are_found(#[case] case: Runs) {
-    let breaches = books::order(&[engine(vec![opened("r.1.1.0", case.runs)])]);
+    let breaches = history::order(&[engine(vec![opened("r.1.1.0", case.runs)])]);
     assert_eq!(breaches.is_empty(), case.holds, "{breaches:?}");
 }
 
@@ -53,7 +53,7 @@
 #[test]
 fn a_doubled_write_is_found() {
     let runs = vec![("a".to_string(), 1), ("b".to_string(), 2)];
-    let breaches = books::doubled(&runs);
+    let breaches = history::doubled(&runs);
     assert_eq!(breaches.len(), 1);
     assert!(breaches[0].what.starts_with("b "));
 }
@@ -62,8 +62,8 @@
 #[test]
 fn an_order_that_was_answered_and_never_ran_is_found() {
     let outcomes = [outcome(Kind::Order, "a", Verdict::Right)];
-    assert_eq!(books::missing(&outcomes, &vec![]).len(), 1);
-    assert!(books::missing(&outcomes, &vec![("a".to_string(), 1)]).is_empty());
+    assert_eq!(history::missing(&outcomes, &vec![]).len(), 1);
+    assert!(history::missing(&outcomes, &vec![("a".to_string(), 1)]).is_empty());
 }
 
 struct Ghost {
@@ -91,8 +91,8 @@
     out.not_run = vec![case.told.to_string()];
     let engines = vec![engine(vec![opened("gpu-1.7.x.1.0", &[(0, 3)])])];
     let requests = vec!["router-1.5.a".to_string()];
-    let books = Books { engines, runs: vec![("x".to_string(), 1)], requests };
-    assert_eq!(!books::run_all_the_same(&[out], &books).is_empty(), case.found);
+    let history = History { engines, runs: vec![("x".to_string(), 1)], requests };
+    assert_eq!(!history::run_all_the_same(&[out], &history).is_empty(), case.found);
 }
 
 /// A session that was opened and ran nothing is no run.
@@ -100,9 +100,12 @@
 fn an_opened_session_without_a_step_is_no_ghost() {
     let mut out = outcome(Kind::Draft, "x", Verdict::NotRun(String::new()));
     out.not_run = vec!["x".to_string()];
-    let books =
-        Books { engines: vec![engine(vec![opened("x.1.0", &[])])], runs: vec![], requests: vec![] };
-    assert!(books::run_all_the_same(&[out], &books).is_empty());
+    let history = History {
+        engines: vec![engine(vec![opened("x.1.0", &[])])],
+        runs: vec![],
+        requests: vec![],
+    };
+    assert!(history::run_all_the_same(&[out], &history).is_empty());
 }
 
 /// An answer differs from the straight-through one, or breaks off. Users get half a label text.
@@ -114,11 +117,11 @@
         outcome(Kind::Draft, "c", Verdict::Right),
         outcome(Kind::Draft, "d", Verdict::NotRun(String::new())),
     ];
-    assert_eq!(books::answers(&outcomes).len(), 2);
+    assert_eq!(history::answers(&outcomes).len(), 2);
 }
 
 struct Layer {
-    sessions: Vec<Opened>,
+    sessions: Vec<SessionRuns>,
     exact: bool,
 }
 
@@ -129,8 +132,8 @@
 #[case::too_few(Layer { sessions: vec![opened("x.1.0", &[(0, 9)])], exact: false })]
 fn repeated_and_missing_layer_runs_are_found(#[case] case: Layer) {
     let outcomes = [outcome(Kind::Draft, "x", Verdict::Right)];
-    let books = Books { engines: vec![engine(case.sessions)], runs: vec![], requests: vec![] };
-    let facts = Facts { outcomes: &outcomes, books: &books, layers: 4, crashes: 0 };
+    let history = History { engines: vec![engine(case.sessions)], runs: vec![], requests: vec![] };
+    let facts = Facts { outcomes: &outcomes, history: &history, layers: 4, crashes: 0 };
     let what = Expect::LayerRuns { value: Some(1.0), max: None };
     assert_eq!(expect::judge(&what, &facts).unwrap().is_ok(), case.exact);
 }
