--- a/crates/scenario/src/binary.rs
+++ b/crates/scenario/src/binary.rs
@@ -8,11 +8,11 @@
 
 /// Where the programs are: beside the player's own executable.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Programs {
     dir: PathBuf,
 }
 
-impl Place {
+impl Programs {
     /// Path of one program.
     pub fn path(&self, program: &str) -> PathBuf {
         self.dir.join(program)
@@ -24,7 +24,7 @@
 /// `cargo run -p scenario` builds the player only. Without this a script would
 /// run against daemons of an older commit and its verdict would say nothing
 /// about the present one.
-pub async fn find(build: bool) -> Result<Place, String> {
+pub async fn find(build: bool) -> Result<Programs, String> {
     let own = std::env::current_exe().map_err(|e| format!("own executable: {e}"))?;
     let mut dir = own.parent().map(PathBuf::from).ok_or("own executable has no directory")?;
     if dir.ends_with("deps") {
@@ -34,7 +34,7 @@
         run_cargo(dir.ends_with("release")).await?;
     }
     match PROGRAMS.iter().find(|p| !dir.join(p).exists()) {
-        None => Ok(Place { dir }),
+        None => Ok(Programs { dir }),
         Some(missing) => Err(format!("{missing} is not beside the player; run without --no-build")),
     }
 }
--- a/crates/scenario/src/caller.rs
+++ b/crates/scenario/src/caller.rs
@@ -13,16 +13,16 @@
 use serde::Deserialize;
 
 /// Longest wait for the head of an answer; above every deadline a scenario sets.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(40);
 /// Shortest pause before a caller comes back.
-pub const PAUSE: Duration = Duration::from_millis(50);
+pub const MIN_PAUSE: Duration = Duration::from_millis(50);
 /// Longest pause before a caller comes back, whatever the refusal asks for.
-pub const PAUSE_MAX: Duration = Duration::from_secs(2);
+pub const MAX_PAUSE: Duration = Duration::from_secs(2);
 
 /// Pause between two looks of the balancer at a router.
-const LOOK: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Time a router has to answer the balancer's look.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A refusal, `application/problem+json`.
 #[derive(Debug, Clone, Default, Deserialize, PartialEq)]
@@ -75,7 +75,7 @@
     /// How long to wait before coming back; `None` when that makes no sense.
     pub fn pause(&self) -> Option<Duration> {
         let ms = self.retry_after_ms?;
-        Some(Duration::from_millis(ms).clamp(PAUSE, PAUSE_MAX))
+        Some(Duration::from_millis(ms).clamp(MIN_PAUSE, MAX_PAUSE))
     }
 }
 
@@ -116,16 +116,16 @@
     }
 
     /// Looks at the routers as a platform's balancer does, for as long as it is polled.
-    pub async fn balance(self) {
-        let looks = self.routers.iter().zip(self.ready.iter()).map(|(base, ready)| async {
-            let http = rest::Client::new(base, LOOK_TIMEOUT);
+    pub async fn probe_readiness(self) {
+        let probes = self.routers.iter().zip(self.ready.iter()).map(|(base, ready)| async {
+            let http = rest::Client::new(base, PROBE_TIMEOUT);
             loop {
-                let look = http.send("GET", "/readyz", &[], Bytes::new()).await;
-                ready.store(look.is_ok_and(|a| a.status == 200), Ordering::Relaxed);
-                tokio::time::sleep(LOOK).await;
+                let probe = http.send("GET", "/readyz", &[], Bytes::new()).await;
+                ready.store(probe.is_ok_and(|a| a.status == 200), Ordering::Relaxed);
+                tokio::time::sleep(PROBE_INTERVAL).await;
             }
         });
-        futures_util::future::join_all(looks).await;
+        futures_util::future::join_all(probes).await;
     }
 
     /// Sends a request and returns the head of the answer.
@@ -144,13 +144,15 @@
         let req = req
             .body(Full::new(body))
             .map_err(|e| rest::Error::Connect { peer: peer.clone(), reason: e.to_string() })?;
-        match tokio::time::timeout(PATIENCE, self.pool.request(req)).await {
+        match tokio::time::timeout(ANSWER_TIMEOUT, self.pool.request(req)).await {
             Ok(Ok(res)) => Ok(res),
             Ok(Err(e)) if e.is_connect() => {
                 Err(rest::Error::Connect { peer, reason: e.to_string() })
             }
             Ok(Err(e)) => Err(rest::Error::Lost { peer, reason: e.to_string() }),
-            Err(_) => Err(rest::Error::Lost { peer, reason: format!("nothing in {PATIENCE:?}") }),
+            Err(_) => {
+                Err(rest::Error::Lost { peer, reason: format!("nothing in {ANSWER_TIMEOUT:?}") })
+            }
         }
     }
 }
--- a/crates/scenario/src/expect.rs
+++ b/crates/scenario/src/expect.rs
@@ -23,23 +23,25 @@
 
 /// Judges a statement on requests and history; `None` when it is about something else.
 pub fn judge(what: &Expect, facts: &Facts<'_>) -> Option<Result<(), String>> {
-    let all = table::count(facts.outcomes, |o| !o.judged);
+    let all = table::count(facts.outcomes, |o| !o.judged_by_script);
     let verdict = match what {
         Expect::Answered { min } => {
             let part = all.right as f64 / all.sent.max(1) as f64;
-            let first = facts.outcomes.iter().find(|o| !o.judged && !o.is_right());
+            let first = facts.outcomes.iter().find(|o| !o.judged_by_script && !o.is_right());
             let first = first.map_or(String::new(), |o| format!(": {} {}", o.id, o.verdict.line()));
             require(part >= *min, format!("{part:.4} of {} were answered right{first}", all.sent))
         }
-        Expect::Right => none(history::answers(facts.outcomes)),
-        Expect::NoneDoubled => none(history::doubled(&facts.history.runs)),
+        Expect::Right => require_none(history::bad_answers(facts.outcomes)),
+        Expect::NoneDoubled => require_none(history::duplicate_runs(&facts.history.runs)),
         Expect::Runs { key, times } => {
             let runs = &facts.history.runs;
             let at = runs.binary_search_by(|(k, _)| k.as_str().cmp(key));
             let found = at.map_or(0, |i| runs[i].1);
             require(found == *times, format!("{key} ran {found} times"))
         }
-        Expect::NotRunTrue => none(history::run_all_the_same(facts.outcomes, facts.history)),
+        Expect::NotRunTrue => {
+            require_none(history::ran_despite_not_run(facts.outcomes, facts.history))
+        }
         Expect::LayerRuns { value, max } => layer_runs(*value, *max, facts),
         Expect::Cut { max } => require(all.lost <= *max, format!("{} were cut or lost", all.lost)),
         Expect::Unknown { max } => {
@@ -72,9 +74,9 @@
     if holds { Ok(()) } else { Err(found) }
 }
 
-fn none(breaches: Vec<history::Breach>) -> Result<(), String> {
-    match breaches.first() {
+fn require_none(violations: Vec<history::Violation>) -> Result<(), String> {
+    match violations.first() {
         None => Ok(()),
-        Some(first) => Err(format!("{} breaches, the first: {first}", breaches.len())),
+        Some(first) => Err(format!("{} violations, the first: {first}", violations.len())),
     }
 }
--- a/crates/scenario/src/fault.rs
+++ b/crates/scenario/src/fault.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Map, Value, json};
 
-use crate::fleet::{Backend, CALL, Fleet, Vm, post};
+use crate::fleet::{Backend, CALL_TIMEOUT, Fleet, Vm, post};
 use crate::script;
 
 /// What datagrams of a link suffer.
@@ -65,7 +65,7 @@
 
 /// Takes all faults off the links.
 pub async fn heal(fleet: &Fleet) -> Result<(), String> {
-    let http = rest::Client::new(&fleet.platform.links, CALL);
+    let http = rest::Client::new(&fleet.platform.links, CALL_TIMEOUT);
     let done: Result<Value, _> = http.json("DELETE", "/~fake/faults", &()).await;
     done.map(|_| ()).map_err(|e| e.to_string())
 }
--- a/crates/scenario/src/fleet.rs
+++ b/crates/scenario/src/fleet.rs
@@ -10,22 +10,22 @@
 
 use cloud::vm::{Entry, Role, State};
 
-use crate::binary::Place;
+use crate::binary::Programs;
 use crate::history::{self, Engine, History};
 use crate::model;
-use crate::process::{Process, READY, Wanted};
+use crate::process::{Process, READY_TIMEOUT, Wanted};
 use crate::script;
 use crate::settings::{self, BACKEND_PORT, Platform};
 
 pub use vm::{Backend, Vm};
 
 /// A port where nobody listens.
-const NOBODY: u16 = 9;
+const UNUSED_PORT: u16 = 9;
 
 /// Pause between two looks at a daemon that is not ready.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time one look at a daemon or control call may take.
-pub const CALL: Duration = Duration::from_secs(3);
+pub const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A running fleet.
 #[derive(Debug)]
@@ -39,19 +39,23 @@
     /// Addresses of the platform.
     pub platform: Platform,
     /// History of engines that were killed.
-    pub kept: Vec<Engine>,
+    pub killed_engines: Vec<Engine>,
     /// Text of the fleet settings as published last.
     pub text: String,
     /// Directory of settings, certificates and logs.
     pub dir: PathBuf,
-    place: Place,
+    programs: Programs,
     octet: u8,
     _claim: TcpListener,
 }
 
 impl Fleet {
     /// Starts everything and waits until all daemons are ready.
-    pub async fn start(plan: script::Fleet, place: Place, dir: PathBuf) -> Result<Fleet, String> {
+    pub async fn start(
+        plan: script::Fleet,
+        programs: Programs,
+        dir: PathBuf,
+    ) -> Result<Fleet, String> {
         let (octet, claim) = vm::claim()?;
         let at = |port: u16| format!("http://127.{octet}.0.1:{port}");
         let platform = Platform {
@@ -68,16 +72,16 @@
             vms,
             processes: Vec::new(),
             platform,
-            kept: Vec::new(),
+            killed_engines: Vec::new(),
             text: String::new(),
             dir,
-            place,
+            programs,
             octet,
             _claim: claim,
         };
         fleet.start_platform().await?;
-        fleet.certificates().await?;
-        fleet.text = settings::fleet(&fleet.plan, &fleet.fenced());
+        fleet.create_certificates().await?;
+        fleet.text = settings::fleet(&fleet.plan, &fleet.fenced_vms());
         let text = fleet.text.clone();
         fleet.publish("first", &text, "the settings a scenario begins with", None).await?;
         for vm in fleet.vms.clone() {
@@ -89,7 +93,7 @@
         Ok(fleet)
     }
 
-    fn fenced(&self) -> Vec<String> {
+    fn fenced_vms(&self) -> Vec<String> {
         let engines = self.vms.iter().filter(|v| matches!(v.backend, Backend::Engine(..)));
         match self.plan.unfenced {
             true => Vec::new(),
@@ -120,10 +124,11 @@
         Ok(())
     }
 
-    async fn certificates(&self) -> Result<(), String> {
+    async fn create_certificates(&self) -> Result<(), String> {
         let names = self.vms.iter().map(|v| v.name.clone());
         // Spare names, so that a VM that comes later has its certificate from the same authority.
-        let spares = (0..self.plan.ranges.len()).flat_map(|r| (1..=4).map(move |k| spare(r, k)));
+        let spares =
+            (0..self.plan.ranges.len()).flat_map(|r| (1..=4).map(move |k| spare_name(r, k)));
         let mut args =
             vec!["certs".to_string(), "--out".to_string(), ".".to_string(), "--vm".to_string()];
         args.extend(names.chain(spares).chain([ctl::OPERATOR.to_string()]));
@@ -144,7 +149,7 @@
             self.spawn(&vm.backend_process(), "hyssop-fake", args)?;
             self.process(&vm.backend_process())?.ready().await?;
         }
-        self.enter(vm, State::Live).await?;
+        self.set_listed(vm, State::Live).await?;
         self.start_daemon(vm)
     }
 
@@ -157,7 +162,7 @@
         let level = &self.plan.log_level;
         let mut platform = self.platform.clone();
         if self.plan.no_log.contains(&vm.name) {
-            platform.log = format!("http://127.{}.0.1:{NOBODY}", self.octet);
+            platform.log = format!("http://127.{}.0.1:{UNUSED_PORT}", self.octet);
         }
         let text = settings::process(&vm.name, &vm.data_centre, vm.ip, level, &platform, backend);
         let file = self.dir.join(format!("{}.ini", vm.name));
@@ -165,7 +170,7 @@
         let program = if vm.backend == Backend::None { "hyssop-router" } else { "hyssop-agent" };
         let args = vec!["--settings".to_string(), file.display().to_string()];
         self.spawn(&vm.name, program, args)?;
-        self.process(&vm.name)?.mute();
+        self.process(&vm.name)?.discard_output();
         Ok(())
     }
 
@@ -205,7 +210,7 @@
             Ok(i) => i,
             Err(i) => {
                 let log = self.dir.join("logs").join(format!("{name}.log"));
-                let path = self.place.path(program);
+                let path = self.programs.path(program);
                 self.processes.insert(i, Process::new(name, path, args, log));
                 i
             }
@@ -226,7 +231,7 @@
     }
 
     /// Enters a VM in the VM list, or changes its state there.
-    pub async fn enter(&self, vm: &Vm, state: State) -> Result<(), String> {
+    pub async fn set_listed(&self, vm: &Vm, state: State) -> Result<(), String> {
         let role = if vm.backend == Backend::None { Role::Router } else { Role::Agent };
         let entry = Entry {
             vm: vm.name.clone(),
@@ -235,7 +240,7 @@
             address: vm.link(self.plan.links).to_string(),
             state,
         };
-        let http = rest::Client::new(&self.platform.vms, CALL);
+        let http = rest::Client::new(&self.platform.vms, CALL_TIMEOUT);
         let path = format!("/v1/vms/{}", vm.name);
         let done: Result<serde_json::Value, _> = http.json("PUT", &path, &entry).await;
         done.map(|_| ()).map_err(|e| e.to_string())
@@ -244,30 +249,30 @@
     /// Waits until the daemon of a VM says that it is ready; returns how long it took.
     pub async fn wait_ready(&mut self, vm: &Vm) -> Result<Duration, String> {
         let began = Instant::now();
-        let http = rest::Client::new(&vm.http(), CALL);
-        while began.elapsed() < READY {
-            if !self.process(&vm.name)?.lives() {
+        let http = rest::Client::new(&vm.http(), CALL_TIMEOUT);
+        while began.elapsed() < READY_TIMEOUT {
+            if !self.process(&vm.name)?.is_running() {
                 return Err(format!("{} ended before it was ready", vm.name));
             }
-            let look = http.send("GET", "/readyz", &[], Default::default()).await;
-            if look.is_ok_and(|a| a.status == 200) {
+            let probe = http.send("GET", "/readyz", &[], Default::default()).await;
+            if probe.is_ok_and(|a| a.status == 200) {
                 return Ok(began.elapsed());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(format!("{} not ready within {READY:?}", vm.name))
+        Err(format!("{} not ready within {READY_TIMEOUT:?}", vm.name))
     }
 
     /// Starts what is gone on a VM and waits until it is ready.
     pub async fn restart(&mut self, name: &str) -> Result<(), String> {
         let vm = self.vm(name)?;
         let backend = vm.backend_process();
-        let gone = |p: &mut Process| !p.lives();
-        if vm.backend != Backend::None && gone(self.process(&backend)?) {
+        let stopped = |p: &mut Process| !p.is_running();
+        if vm.backend != Backend::None && stopped(self.process(&backend)?) {
             self.process(&backend)?.start()?;
             self.process(&backend)?.ready().await?;
         }
-        if gone(self.process(name)?) {
+        if stopped(self.process(name)?) {
             self.start_daemon(&vm)?;
         }
         self.wait_ready(&vm).await.map(|_| ())
@@ -277,9 +282,9 @@
     pub async fn add(&mut self, range: usize, step_us: u64, empty: bool) -> Result<String, String> {
         let span = *self.plan.ranges.get(range).ok_or(format!("there is no range {range}"))?;
         let taken = |name: &str| self.vms.iter().any(|v| v.name == name);
-        let k = (1..=4).find(|k| !taken(&spare(range, *k))).ok_or("no spare name is left")?;
+        let k = (1..=4).find(|k| !taken(&spare_name(range, *k))).ok_or("no spare name is left")?;
         let vm = Vm {
-            name: spare(range, k),
+            name: spare_name(range, k),
             data_centre: "dc-a".to_string(),
             ip: Ipv4Addr::new(127, self.octet, 10 + range as u8, 100 + k as u8).into(),
             backend: Backend::Engine(range, span.low, span.high, step_us),
@@ -293,22 +298,22 @@
     }
 
     /// Reads the book of one engine.
-    pub async fn book(&self, vm: &Vm) -> Result<Engine, String> {
+    pub async fn engine_history(&self, vm: &Vm) -> Result<Engine, String> {
         if !matches!(vm.backend, Backend::Engine(..)) {
             return Err(format!("{} has no engine", vm.name));
         }
-        let book = history::engine(&vm.backend_http(), &vm.name).await;
-        book.map_err(|e| format!("book of {}: {e}", vm.name))
+        let history = history::engine(&vm.backend_http(), &vm.name).await;
+        history.map_err(|e| format!("book of {}: {e}", vm.name))
     }
 
     /// Reads all history; the history of engines that do not live are those kept from before.
     pub async fn history(&mut self) -> Result<History, String> {
-        let mut engines = self.kept.clone();
+        let mut engines = self.killed_engines.clone();
         for vm in self.vms.clone() {
             let Backend::Engine(..) = vm.backend else { continue };
             let running = self.process(&vm.backend_process())?;
-            if running.lives() && running.wanted == Wanted::Running {
-                engines.push(self.book(&vm).await?);
+            if running.is_running() && running.wanted == Wanted::Running {
+                engines.push(self.engine_history(&vm).await?);
             }
         }
         let runs = history::runs(&self.platform.ledger).await.map_err(|e| e.to_string())?;
@@ -317,9 +322,9 @@
     }
 
     /// Names of processes that should live and don't.
-    pub fn dead(&mut self) -> Vec<String> {
-        let dead = |p: &mut Process| p.wanted != Wanted::Gone && !p.lives();
-        self.processes.iter_mut().filter_map(|p| dead(p).then(|| p.name.clone())).collect()
+    pub fn ended_unexpectedly(&mut self) -> Vec<String> {
+        let ended = |p: &mut Process| p.wanted != Wanted::Stopped && !p.is_running();
+        self.processes.iter_mut().filter_map(|p| ended(p).then(|| p.name.clone())).collect()
     }
 
     /// Lets everything go on that is frozen, so that its history can be read.
@@ -334,7 +339,7 @@
     /// run would find addresses still bound, and its stand-ins could not start.
     pub async fn stop(&mut self) {
         for p in &mut self.processes {
-            p.end().await;
+            p.kill_if_running().await;
         }
     }
 
@@ -344,13 +349,13 @@
     }
 }
 
-fn spare(range: usize, k: usize) -> String {
+fn spare_name(range: usize, k: usize) -> String {
     format!("gpu-{range}-spare-{k}")
 }
 
 /// POST of a control to a stand-in.
 pub async fn post(base: &str, path: &str, body: &serde_json::Value) -> Result<(), String> {
-    let http = rest::Client::new(base, CALL);
+    let http = rest::Client::new(base, CALL_TIMEOUT);
     let done: Result<serde_json::Value, _> = http.post(path, body).await;
     done.map(|_| ()).map_err(|e| e.to_string())
 }
--- a/crates/scenario/src/fleet/ctl.rs
+++ b/crates/scenario/src/fleet/ctl.rs
@@ -33,15 +33,15 @@
         match done.status.success() {
             true => Ok(String::from_utf8_lossy(&done.stdout).to_string()),
             false => {
-                let said = String::from_utf8_lossy(&done.stderr);
-                Err(format!("hyssopctl {}: {}: {}", args[0], done.status, said.trim()))
+                let stderr = String::from_utf8_lossy(&done.stderr);
+                Err(format!("hyssopctl {}: {}: {}", args[0], done.status, stderr.trim()))
             }
         }
     }
 
     async fn run_ctl(&self, args: &[String]) -> Result<Output, String> {
         let platform = ["--log", &self.platform.log, "--vms", &self.platform.vms];
-        tokio::process::Command::new(self.place.path("hyssopctl"))
+        tokio::process::Command::new(self.programs.path("hyssopctl"))
             .args(platform)
             .args(["--tls", ".", "--as", OPERATOR])
             .args(args)
--- a/crates/scenario/src/history.rs
+++ b/crates/scenario/src/history.rs
@@ -10,7 +10,7 @@
 use crate::outcome::{Kind, Outcome, Verdict};
 
 /// Time to read one book.
-pub const READ: Duration = Duration::from_secs(5);
+pub const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The request that an engine's session belongs to. The agent names a session
 /// `request.attempt.first`; the request id holds dots itself.
@@ -54,27 +54,27 @@
 /// A broken invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{invariant}: {what}")]
-pub struct Breach {
+pub struct Violation {
     /// Which.
     pub invariant: &'static str,
     /// Where, with the request id or key.
     pub what: String,
 }
 
-fn breach(invariant: &'static str, what: String) -> Breach {
-    Breach { invariant, what }
+fn violation(invariant: &'static str, what: String) -> Violation {
+    Violation { invariant, what }
 }
 
 /// No key ran more than once.
-pub fn doubled(runs: &Runs) -> Vec<Breach> {
+pub fn duplicate_runs(runs: &Runs) -> Vec<Violation> {
     let twice = runs.iter().filter(|(_, n)| *n > 1);
-    twice.map(|(key, n)| breach("none-doubled", format!("{key} ran {n} times"))).collect()
+    twice.map(|(key, n)| violation("none-doubled", format!("{key} ran {n} times"))).collect()
 }
 
 /// Each session ran each position once and in order. Its first one is 0 unless its
 /// state was imported; an engine refuses a first step at any other position.
-pub fn order(engines: &[Engine]) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+pub fn position_order(engines: &[Engine]) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for engine in engines {
         for session in &engine.sessions {
             for pair in session.runs.windows(2) {
@@ -84,20 +84,20 @@
                         "{} on {}: position {} where {due} was due",
                         session.session, engine.vm, pair[1].start
                     );
-                    breaches.push(breach("positions-in-order", what));
+                    violations.push(violation("positions-in-order", what));
                 }
             }
         }
     }
-    breaches
+    violations
 }
 
 /// The part of a request id that stays the same when a draft is offered to another head.
 ///
 /// ```
-/// assert_eq!(scenario::history::unique("gpu-0-1.7.x"), "x");
+/// assert_eq!(scenario::history::stable_part("gpu-0-1.7.x"), "x");
 /// ```
-pub fn unique(request: &str) -> &str {
+pub fn stable_part(request: &str) -> &str {
     request.rsplit('.').next().unwrap_or(request)
 }
 
@@ -107,19 +107,20 @@
 /// looked for by the part of its id that stays the same. Each sending of an order has
 /// an id of its own, which the service notes, so that one sending's run is not taken
 /// for another's of the same key.
-pub fn run_all_the_same(outcomes: &[Outcome], history: &History) -> Vec<Breach> {
+pub fn ran_despite_not_run(outcomes: &[Outcome], history: &History) -> Vec<Violation> {
     let sessions = history.engines.iter().flat_map(|e| &e.sessions);
-    let worked = sessions.filter(|s| !s.runs.is_empty());
-    let mut ran: Vec<&str> = worked.map(|s| unique(request(&s.session))).collect();
+    let ran_steps = sessions.filter(|s| !s.runs.is_empty());
+    let mut ran: Vec<&str> = ran_steps.map(|s| stable_part(request(&s.session))).collect();
     ran.sort_unstable();
-    let stands = |kind: Kind, id: &str| match kind {
-        Kind::Draft => ran.binary_search(&unique(id)).is_ok(),
+    let is_recorded = |kind: Kind, id: &str| match kind {
+        Kind::Draft => ran.binary_search(&stable_part(id)).is_ok(),
         Kind::Order => history.requests.binary_search_by(|r| r.as_str().cmp(id)).is_ok(),
         Kind::Lookup => false,
     };
-    let told = outcomes.iter().flat_map(|o| o.not_run.iter().map(|id| (o.kind, id)));
-    told.filter(|(kind, id)| !id.is_empty() && stands(*kind, id))
-        .map(|(_, id)| breach("not-run-true", format!("{id} was told not run and ran")))
+    let reported = outcomes.iter().flat_map(|o| o.not_run.iter().map(|id| (o.kind, id)));
+    reported
+        .filter(|(kind, id)| !id.is_empty() && is_recorded(*kind, id))
+        .map(|(_, id)| violation("not-run-true", format!("{id} was told not run and ran")))
         .collect()
 }
 
@@ -128,23 +129,28 @@
 }
 
 /// Orders that were answered stand in the services' book.
-pub fn missing(outcomes: &[Outcome], runs: &Runs) -> Vec<Breach> {
+pub fn lost_orders(outcomes: &[Outcome], runs: &Runs) -> Vec<Violation> {
     let orders = outcomes.iter().filter(|o| o.kind == Kind::Order && o.is_right());
     let lost = orders.filter(|o| !ran_once(runs, &o.id));
-    lost.map(|o| breach("no-order-lost", format!("{} was answered and never ran", o.id))).collect()
+    lost.map(|o| violation("no-order-lost", format!("{} was answered and never ran", o.id)))
+        .collect()
 }
 
 /// Answers are right, and what was accepted was answered.
-pub fn answers(outcomes: &[Outcome]) -> Vec<Breach> {
-    let mut breaches = Vec::new();
-    for out in outcomes.iter().filter(|o| !o.judged) {
+pub fn bad_answers(outcomes: &[Outcome]) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    for out in outcomes.iter().filter(|o| !o.judged_by_script) {
         match &out.verdict {
-            Verdict::Wrong(why) => breaches.push(breach("right", format!("{}: {why}", out.id))),
-            Verdict::Lost(why) => breaches.push(breach("none-lost", format!("{}: {why}", out.id))),
+            Verdict::Wrong(why) => {
+                violations.push(violation("right", format!("{}: {why}", out.id)))
+            }
+            Verdict::Lost(why) => {
+                violations.push(violation("none-lost", format!("{}: {why}", out.id)))
+            }
             _ => {}
         }
     }
-    breaches
+    violations
 }
 
 /// Runs of a layer for each token: 1 when nothing ran twice.
@@ -167,27 +173,28 @@
 
 /// Reads an engine's book.
 pub async fn engine(base: &str, vm: &str) -> Result<Engine, rest::Error> {
-    let page: history::History = rest::Client::new(base, READ).get("/~fake/books").await?;
-    let history::History { sessions, orders, batches, busy_us, .. } = page;
+    let read: history::History = rest::Client::new(base, READ_TIMEOUT).get("/~fake/books").await?;
+    let history::History { sessions, orders, batches, busy_us, .. } = read;
     Ok(Engine { vm: vm.to_string(), sessions, orders, batches, busy_us })
 }
 
 /// Reads how often each key ran at the services that share the book at `base`.
 pub async fn runs(base: &str) -> Result<Runs, rest::Error> {
     let map: std::collections::BTreeMap<String, u32> =
-        rest::Client::new(base, READ).get("/~fake/runs").await?;
+        rest::Client::new(base, READ_TIMEOUT).get("/~fake/runs").await?;
     Ok(map.into_iter().collect())
 }
 
 /// Reads the ids of the requests whose writes stand in the book at `base`, sorted.
 pub async fn requests(base: &str) -> Result<Vec<String>, rest::Error> {
-    let mut ids: Vec<String> = rest::Client::new(base, READ).get("/~fake/requests").await?;
+    let mut ids: Vec<String> = rest::Client::new(base, READ_TIMEOUT).get("/~fake/requests").await?;
     ids.sort_unstable();
     Ok(ids)
 }
 
 /// Reads how many calls the service at `base` has taken.
-pub async fn taken(base: &str) -> Result<u64, rest::Error> {
-    let taken: fake::service::CallCount = rest::Client::new(base, READ).get("/~fake/taken").await?;
+pub async fn calls_taken(base: &str) -> Result<u64, rest::Error> {
+    let taken: fake::service::CallCount =
+        rest::Client::new(base, READ_TIMEOUT).get("/~fake/taken").await?;
     Ok(taken.calls)
 }
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -79,7 +79,7 @@
     Pcg64::seed_from_u64(seed.wrapping_mul(1 << 20).wrapping_add(part))
 }
 
-fn pick(rng: &mut impl Rng, span: Span) -> u32 {
+fn draw(rng: &mut impl Rng, span: Span) -> u32 {
     rng.random_range(span.low..=span.high)
 }
 
@@ -93,7 +93,7 @@
 pub fn drafts(line: &Drafts, layers: u32, seed: u64, part: u64) -> Vec<draft::Job> {
     let mut rng = random(seed, part);
     let job = |n: usize| draft::Job {
-        prompt: prompt(&mut rng, &format!("draft-{part}-{n}"), pick_words(line, n)),
+        prompt: prompt(&mut rng, &format!("draft-{part}-{n}"), prompt_length(line, n)),
         max_tokens: 0,
         workspace: line.load.from_workspace + n % line.load.workspaces,
         // Each workspace comes through all routers, as behind a balancer.
@@ -103,13 +103,13 @@
     };
     let mut jobs: Vec<draft::Job> = (0..line.load.count).map(job).collect();
     for job in &mut jobs {
-        job.max_tokens = pick(&mut rng, line.tokens);
+        job.max_tokens = draw(&mut rng, line.tokens);
     }
     jobs
 }
 
 /// Lengths of prompts run through the whole span in turn.
-fn pick_words(line: &Drafts, n: usize) -> u32 {
+fn prompt_length(line: &Drafts, n: usize) -> u32 {
     let span = line.prompt_words;
     span.low + (n as u32 * 7) % (span.high - span.low + 1)
 }
@@ -127,7 +127,7 @@
 }
 
 /// Runs one future a job, so many at once, each as a task of its own.
-async fn at_once<J, F>(jobs: Vec<J>, load: &Load, record: Record, run: impl Fn(J) -> F)
+async fn run_concurrently<J, F>(jobs: Vec<J>, load: &Load, record: Record, run: impl Fn(J) -> F)
 where
     F: Future<Output = Outcome> + Send + 'static,
 {
@@ -152,7 +152,7 @@
         let caller = caller.clone();
         async move { draft::run(&caller, &job).await }
     };
-    at_once(jobs, &load, record, run).await;
+    run_concurrently(jobs, &load, record, run).await;
 }
 
 /// Plays a `lookups` line.
@@ -161,7 +161,7 @@
         let caller = caller.clone();
         async move { write::run(&caller, Kind::Lookup, &job).await }
     };
-    at_once(calls(&load, "lookup", part), &load, record, run).await;
+    run_concurrently(calls(&load, "lookup", part), &load, record, run).await;
 }
 
 /// Plays an `orders` line.
@@ -175,21 +175,21 @@
         let caller = caller.clone();
         async move {
             match twice {
-                true => both(&caller, &job).await,
+                true => send_twice(&caller, &job).await,
                 false => write::run(&caller, Kind::Order, &job).await,
             }
         }
     };
-    at_once(jobs, &line.load, record, run).await;
+    run_concurrently(jobs, &line.load, record, run).await;
 }
 
 /// The same order through two routers at once: both callers must get one answer.
-async fn both(caller: &Caller, job: &write::Job) -> Outcome {
+async fn send_twice(caller: &Caller, job: &write::Job) -> Outcome {
     let other = write::Job { router: job.router + 1, ..job.clone() };
     let (mut a, b) =
         tokio::join!(write::run(caller, Kind::Order, job), write::run(caller, Kind::Order, &other));
-    a.doubts += b.doubts;
-    a.comebacks += b.comebacks;
+    a.unknowns += b.unknowns;
+    a.retries += b.retries;
     a.not_run.extend(b.not_run);
     match (&a.verdict, &b.verdict) {
         (Verdict::Right, Verdict::Right) if a.answer != b.answer => {
--- a/crates/scenario/src/main.rs
+++ b/crates/scenario/src/main.rs
@@ -4,16 +4,16 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use scenario::binary::{self, Place};
+use scenario::binary::{self, Programs};
 use scenario::player::Player;
 use scenario::{script, sweep};
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Exit code when a script can't be read or the programs are missing.
-const USAGE: u8 = 2;
+const USAGE_EXIT_CODE: u8 = 2;
 
 /// Failures printed of one script.
-const FAILURES: usize = 20;
+const MAX_PRINTED_FAILURES: usize = 20;
 
 /// Plays scripted scenarios against real processes on loopback.
 ///
@@ -72,30 +72,30 @@
     let args = Args::parse();
     let scripts = match scripts(&args.command) {
         Ok(scripts) => scripts,
-        Err(e) => return usage(&e),
+        Err(e) => return usage_error(&e),
     };
     if let Command::Sweep { print: true, .. } = args.command {
         scripts.iter().for_each(|s| println!("# {}\n{}", s.name, s.text));
         return ExitCode::SUCCESS;
     }
-    let place = match binary::find(!args.no_build).await {
-        Ok(place) => place,
-        Err(e) => return usage(&e),
+    let programs = match binary::find(!args.no_build).await {
+        Ok(programs) => programs,
+        Err(e) => return usage_error(&e),
     };
     // Processes are ended when their player is dropped, so a signal must drop it
     // in place of ending this process at once and leaving them behind.
     tokio::select! {
-        code = play_all(&scripts, &place, args.keep) => code,
-        () = stopped() => ExitCode::FAILURE,
+        code = play_all(&scripts, &programs, args.keep) => code,
+        () = stop_signal() => ExitCode::FAILURE,
     }
 }
 
-fn usage(text: &str) -> ExitCode {
+fn usage_error(text: &str) -> ExitCode {
     eprintln!("{text}");
-    ExitCode::from(USAGE)
+    ExitCode::from(USAGE_EXIT_CODE)
 }
 
-async fn stopped() {
+async fn stop_signal() {
     let Ok(mut term) = signal(SignalKind::terminate()) else { return std::future::pending().await };
     tokio::select! {
         _ = tokio::signal::ctrl_c() => {}
@@ -122,17 +122,17 @@
     }
 }
 
-async fn play_all(scripts: &[Script], place: &Place, keep: bool) -> ExitCode {
+async fn play_all(scripts: &[Script], programs: &Programs, keep: bool) -> ExitCode {
     let mut failed = Vec::new();
     for script in scripts {
         let lines = match script::parse(&script.name, &script.text) {
             Ok(lines) => lines,
             Err(faults) => {
                 faults.iter().for_each(|f| eprintln!("{f}"));
-                return ExitCode::from(USAGE);
+                return ExitCode::from(USAGE_EXIT_CODE);
             }
         };
-        if !play(script, &lines, place, keep).await {
+        if !play(script, &lines, programs, keep).await {
             failed.push(script.name.as_str());
         }
     }
@@ -146,17 +146,17 @@
 }
 
 /// Plays one script; true when everything held.
-async fn play(script: &Script, lines: &[script::Line], place: &Place, keep: bool) -> bool {
+async fn play(script: &Script, lines: &[script::Line], programs: &Programs, keep: bool) -> bool {
     let dir = std::env::temp_dir().join(format!("hyssop-scenario-{}", uuid::Uuid::new_v4()));
     if let Err(e) = std::fs::create_dir_all(&dir) {
         eprintln!("{}: {e}", dir.display());
         return false;
     }
     println!("== {}", script.name);
-    let end = Player::new(place.clone(), dir.clone(), script.seed).play(lines).await;
+    let end = Player::new(programs.clone(), dir.clone(), script.seed).play(lines).await;
     print!("{}", end.table);
     let passed = end.failures.is_empty();
-    tell(&end.failures, &dir);
+    report_failures(&end.failures, &dir);
     match passed && !keep {
         true => {
             let _ = std::fs::remove_dir_all(&dir);
@@ -168,9 +168,9 @@
 }
 
 /// Prints the first failures, and writes all of them beside the logs.
-fn tell(failures: &[String], dir: &Path) {
-    failures.iter().take(FAILURES).for_each(|f| println!("FAILED {f}"));
-    if failures.len() > FAILURES {
+fn report_failures(failures: &[String], dir: &Path) {
+    failures.iter().take(MAX_PRINTED_FAILURES).for_each(|f| println!("FAILED {f}"));
+    if failures.len() > MAX_PRINTED_FAILURES {
         println!("{} failures in all, see failures.txt beside the logs", failures.len());
     }
     if let Err(e) = std::fs::write(dir.join("failures.txt"), failures.join("\n")) {
--- a/crates/scenario/src/outcome.rs
+++ b/crates/scenario/src/outcome.rs
@@ -61,27 +61,27 @@
     /// The end.
     pub verdict: Verdict,
     /// The script says itself how it must end; the closing invariants leave the verdict out.
-    pub judged: bool,
+    pub judged_by_script: bool,
     /// It was marked to crash engines.
     pub crash: bool,
     /// Ids under which it was told "not run".
     pub not_run: Vec<String>,
     /// How often the caller was told or had to think that an attempt may have run.
-    pub doubts: u32,
+    pub unknowns: u32,
     /// When it was first sent.
     pub sent: Instant,
     /// When each token came.
-    pub times: Vec<Instant>,
+    pub token_times: Vec<Instant>,
     /// Positions a draft needs in each layer: prompt and answer, without the last token.
     pub positions: u32,
     /// Times the caller went on through another router after its stream broke.
     pub resumes: u32,
     /// Times the caller sent it again.
-    pub comebacks: u32,
+    pub retries: u32,
     /// How long the sending that was answered took.
-    pub took: Option<Duration>,
+    pub latency: Option<Duration>,
     /// Cause and step of each refusal it was told.
-    pub told: Vec<String>,
+    pub refusals: Vec<String>,
     /// The answer to an order, for comparing repeats.
     pub answer: Option<Vec<u8>>,
 }
@@ -99,17 +99,17 @@
             workspace: 0,
             id: id.to_string(),
             verdict: Verdict::Lost("never answered".to_string()),
-            judged: false,
+            judged_by_script: false,
             crash: false,
             not_run: Vec::new(),
-            doubts: 0,
+            unknowns: 0,
             sent: Instant::now(),
-            times: Vec::new(),
+            token_times: Vec::new(),
             positions: 0,
             resumes: 0,
-            comebacks: 0,
-            told: Vec::new(),
-            took: None,
+            retries: 0,
+            refusals: Vec::new(),
+            latency: None,
             answer: None,
         }
     }
@@ -121,11 +121,11 @@
 
     /// From sending to the first token.
     pub fn first_token(&self) -> Option<Duration> {
-        Some(*self.times.first()? - self.sent)
+        Some(*self.token_times.first()? - self.sent)
     }
 
     /// Times between tokens, resumes included.
     pub fn gaps(&self) -> impl Iterator<Item = Duration> + '_ {
-        self.times.windows(2).map(|pair| pair[1] - pair[0])
+        self.token_times.windows(2).map(|pair| pair[1] - pair[0])
     }
 }
--- a/crates/scenario/src/player.rs
+++ b/crates/scenario/src/player.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-use crate::binary::Place;
+use crate::binary::Programs;
 use crate::caller::Caller;
 use crate::fleet::Fleet;
 use crate::load::{self, Record};
@@ -22,13 +22,13 @@
 use crate::watch::Watch;
 
 /// Pause between two looks at something the script waits for.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest wait for something the script waits for.
-pub const WAIT: Duration = Duration::from_secs(90);
+pub const MAX_WAIT: Duration = Duration::from_secs(90);
 
 /// Plays one script.
 pub struct Player {
-    place: Place,
+    programs: Programs,
     dir: PathBuf,
     seed: u64,
     part: u64,
@@ -36,7 +36,7 @@
     caller: Caller,
     record: Record,
     background: Vec<JoinHandle<()>>,
-    balancer: Option<JoinHandle<()>>,
+    readiness_probe: Option<JoinHandle<()>>,
     /// Single orders in the background; the number of the line tells them apart.
     pending: Vec<JoinHandle<Result<(), String>>>,
     /// Records of the stream of settings as seen so far; the log lets them expire.
@@ -61,9 +61,9 @@
 
 impl Player {
     /// A player that keeps its files in `dir`.
-    pub fn new(place: Place, dir: PathBuf, seed: u64) -> Player {
+    pub fn new(programs: Programs, dir: PathBuf, seed: u64) -> Player {
         Player {
-            place,
+            programs,
             dir,
             seed,
             part: 0,
@@ -71,7 +71,7 @@
             caller: Caller::new(Vec::new()),
             record: Record::default(),
             background: Vec::new(),
-            balancer: None,
+            readiness_probe: None,
             pending: Vec::new(),
             settings: Vec::new(),
             orders: Vec::new(),
@@ -149,9 +149,9 @@
             return Err("the fleet is already started".to_string());
         }
         let began = Instant::now();
-        let fleet = Fleet::start(plan.clone(), self.place.clone(), self.dir.clone()).await?;
+        let fleet = Fleet::start(plan.clone(), self.programs.clone(), self.dir.clone()).await?;
         self.caller = Caller::new(fleet.routers());
-        self.balancer = Some(tokio::spawn(self.caller.clone().balance()));
+        self.readiness_probe = Some(tokio::spawn(self.caller.clone().probe_readiness()));
         let n = fleet.processes.len();
         self.notes.push(format!("{n} processes ready after {} ms", began.elapsed().as_millis()));
         self.fleet = Some(Arc::new(Mutex::new(fleet)));
@@ -171,10 +171,13 @@
     async fn wait_ended(&self, ended: usize) -> Result<(), String> {
         let began = Instant::now();
         while self.record.ended() < ended {
-            if began.elapsed() > WAIT {
-                return Err(format!("{} of {ended} ended within {WAIT:?}", self.record.ended()));
+            if began.elapsed() > MAX_WAIT {
+                return Err(format!(
+                    "{} of {ended} ended within {MAX_WAIT:?}",
+                    self.record.ended()
+                ));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -240,7 +243,7 @@
 
 impl Drop for Player {
     fn drop(&mut self) {
-        self.background.iter().chain(&self.balancer).for_each(JoinHandle::abort);
+        self.background.iter().chain(&self.readiness_probe).for_each(JoinHandle::abort);
         self.pending.iter().for_each(JoinHandle::abort);
     }
 }
--- a/crates/scenario/src/player/act.rs
+++ b/crates/scenario/src/player/act.rs
@@ -32,7 +32,7 @@
             }
             Verb::Leave { vm } => {
                 let vm = shared.lock().await.vm(vm)?;
-                shared.lock().await.enter(&vm, State::Leaving).await?;
+                shared.lock().await.set_listed(&vm, State::Leaving).await?;
                 self.watches.push(Watch::leave(&vm));
                 return Ok(());
             }
@@ -71,7 +71,7 @@
             Verb::Vms { lag, outage, hide } => fault::vms(fleet, *lag, *outage, *hide).await,
             Verb::Stay { vm } => {
                 let vm = fleet.vm(vm)?;
-                fleet.enter(&vm, State::Live).await
+                fleet.set_listed(&vm, State::Live).await
             }
             Verb::Service(line) => fault::service(fleet, line).await,
             Verb::Engine(line) => fault::engine(fleet, line).await,
@@ -79,8 +79,10 @@
                 let versions = publish::versions(fleet).await?;
                 self.version = versions.iter().map(|v| v.1).max().unwrap_or(0);
                 let note = match racing {
-                    Some(other) => publish::racing(fleet, self.version, change, other).await?,
-                    None => publish::one(fleet, change, *fails).await?,
+                    Some(other) => {
+                        publish::publish_concurrently(fleet, self.version, change, other).await?
+                    }
+                    None => publish::publish_default(fleet, change, *fails).await?,
                 };
                 self.notes.push(note);
                 Ok(())
@@ -92,7 +94,7 @@
             }
             Verb::WaitVersion { within } => {
                 let within = Duration::from_millis(*within);
-                let (version, took) = publish::wait(fleet, self.version, within).await?;
+                let (version, took) = publish::wait_in_force(fleet, self.version, within).await?;
                 trace::extend(&mut self.settings, &fleet.platform.log).await;
                 let took = took.as_millis();
                 self.notes.push(format!("version {version} in force on all after {took} ms"));
@@ -131,8 +133,8 @@
 
 /// Asks a daemon to stop. The fleet is free for other verbs while it drains.
 async fn term(shared: &Arc<Mutex<Fleet>>, vm: &str) -> Result<(), String> {
-    let child = shared.lock().await.process(vm)?.ask()?;
-    process::stopped(vm, child).await
+    let child = shared.lock().await.process(vm)?.terminate()?;
+    process::wait_stopped(vm, child).await
 }
 
 /// Its book goes with the process, so it is read first.
@@ -142,8 +144,8 @@
     // A frozen engine can't show its book: what it ran is missing from the checks.
     let shows = process.wanted != process::Wanted::Frozen;
     if shows && matches!(vm.backend, Backend::Engine(..)) {
-        let book = fleet.book(&vm).await?;
-        fleet.kept.push(book);
+        let history = fleet.engine_history(&vm).await?;
+        fleet.killed_engines.push(history);
     }
     fleet.process(&vm.backend_process())?.kill().await
 }
--- a/crates/scenario/src/player/judge.rs
+++ b/crates/scenario/src/player/judge.rs
@@ -17,7 +17,7 @@
 use crate::watch::{self};
 
 /// Reasons printed at most.
-const REASONS: usize = 5;
+const MAX_REASONS: usize = 5;
 
 impl Player {
     pub(super) async fn expect(&mut self, what: &Expect) -> Result<(), String> {
@@ -31,7 +31,7 @@
             Expect::Left { vm, within } => {
                 let found = self.watches.iter().rev().find_map(|w| Some((w, w.last_work(vm)?)));
                 let (watch, last) = found.ok_or(format!("the script has not said 'leave {vm}'"))?;
-                if !watch.worked() {
+                if !watch.had_work() {
                     return Err(format!("{vm} had no work before it left"));
                 }
                 self.notes
@@ -39,7 +39,7 @@
                 let holds = last <= Duration::from_millis(*within);
                 return if holds { Ok(()) } else { Err(format!("new work after {last:?}")) };
             }
-            Expect::Works { vm } => return watch::works(&shared, vm).await,
+            Expect::Works { vm } => return watch::wait_for_work(&shared, vm).await,
             _ => {}
         }
         let fleet = &mut *shared.lock().await;
@@ -63,20 +63,20 @@
         let Some(shared) = self.fleet.clone() else { return Ok(()) };
         let fleet = &mut *shared.lock().await;
         fleet.thaw_all()?;
-        for name in fleet.dead() {
+        for name in fleet.ended_unexpectedly() {
             self.failures.push(format!("{name} should live and ended"));
         }
         let outcomes = self.record.outcomes();
         let history = fleet.history().await?;
-        let breaches = [
-            history::answers(&outcomes),
-            history::doubled(&history.runs),
-            history::order(&history.engines),
-            history::run_all_the_same(&outcomes, &history),
-            history::missing(&outcomes, &history.runs),
+        let violations = [
+            history::bad_answers(&outcomes),
+            history::duplicate_runs(&history.runs),
+            history::position_order(&history.engines),
+            history::ran_despite_not_run(&outcomes, &history),
+            history::lost_orders(&outcomes, &history.runs),
         ];
-        self.failures.extend(breaches.concat().iter().map(|b| b.to_string()));
-        self.failures.extend(trace::fell(&self.applied(fleet)));
+        self.failures.extend(violations.concat().iter().map(|b| b.to_string()));
+        self.failures.extend(trace::version_decreases(&self.applied(fleet)));
         Ok(())
     }
 
@@ -111,7 +111,7 @@
 /// Why requests ended without their answer, each reason once with its count.
 fn reasons(outcomes: &[Outcome]) -> Vec<String> {
     let mut counted: Vec<(&str, usize)> = Vec::new();
-    for out in outcomes.iter().filter(|o| !o.judged) {
+    for out in outcomes.iter().filter(|o| !o.judged_by_script) {
         let why = match &out.verdict {
             Verdict::NotRun(why) | Verdict::Refused(why) | Verdict::Unknown(why) => why,
             _ => continue,
@@ -121,5 +121,5 @@
             None => counted.push((why, 1)),
         }
     }
-    counted.iter().take(REASONS).map(|(why, n)| format!("{n} times: {why}")).collect()
+    counted.iter().take(MAX_REASONS).map(|(why, n)| format!("{n} times: {why}")).collect()
 }
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -11,10 +11,10 @@
 use tokio::process::{Child, Command};
 
 /// Longest wait for a process to say that it is ready.
-pub const READY: Duration = Duration::from_secs(30);
+pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Longest wait for a process to drain after SIGTERM; above any drain the settings name.
-pub const DRAIN: Duration = Duration::from_secs(60);
+pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// What the script wants of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// It lives and stands still.
     Frozen,
     /// The script ended it.
-    Gone,
+    Stopped,
 }
 
 /// A process and how to start it again.
@@ -47,7 +47,7 @@
     pub fn new(name: &str, program: PathBuf, args: Vec<String>, log: PathBuf) -> Process {
         Process {
             name: name.to_string(),
-            wanted: Wanted::Gone,
+            wanted: Wanted::Stopped,
             crashes: 0,
             program,
             args,
@@ -86,10 +86,10 @@
             }
             false
         };
-        match tokio::time::timeout(READY, wait).await {
+        match tokio::time::timeout(READY_TIMEOUT, wait).await {
             Ok(true) => {}
             Ok(false) => return Err(format!("{name}: ended before it was ready")),
-            Err(_) => return Err(format!("{name}: not ready within {READY:?}")),
+            Err(_) => return Err(format!("{name}: not ready within {READY_TIMEOUT:?}")),
         }
         // A closed pipe would end a process that prints later.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
@@ -97,7 +97,7 @@
     }
 
     /// Lets the output of a daemon go; it reports on its standard error.
-    pub fn mute(&mut self) {
+    pub fn discard_output(&mut self) {
         if let Some(stdout) = self.child.as_mut().and_then(|c| c.stdout.take()) {
             let mut lines = BufReader::new(stdout).lines();
             tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
@@ -106,7 +106,7 @@
 
     /// Ends it at once.
     pub async fn kill(&mut self) -> Result<(), String> {
-        self.wanted = Wanted::Gone;
+        self.wanted = Wanted::Stopped;
         match self.child.take() {
             Some(mut child) => child.kill().await.map_err(|e| format!("{}: kill: {e}", self.name)),
             None => Err(format!("{} does not run", self.name)),
@@ -114,7 +114,7 @@
     }
 
     /// Ends it at once, when it runs, whatever the script wants of it.
-    pub async fn end(&mut self) {
+    pub async fn kill_if_running(&mut self) {
         if let Some(mut child) = self.child.take() {
             // An error says that it has ended already.
             let _ = child.kill().await;
@@ -135,10 +135,10 @@
         Ok(())
     }
 
-    /// Asks it to stop. [`stopped`] waits for the end.
-    pub fn ask(&mut self) -> Result<Child, String> {
+    /// Asks it to stop. [`wait_stopped`] waits for the end.
+    pub fn terminate(&mut self) -> Result<Child, String> {
         self.signal(Signal::SIGTERM)?;
-        self.wanted = Wanted::Gone;
+        self.wanted = Wanted::Stopped;
         self.child.take().ok_or(format!("{} does not run", self.name))
     }
 
@@ -148,7 +148,7 @@
     }
 
     /// True while it runs; a process that ended by itself is counted as a crash once.
-    pub fn lives(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         let Some(child) = self.child.as_mut() else { return false };
         match child.try_wait() {
             Ok(None) => true,
@@ -168,11 +168,11 @@
 }
 
 /// Waits for the end of a process that was asked to stop; anything but exit code 0 is an error.
-pub async fn stopped(name: &str, mut child: Child) -> Result<(), String> {
-    match tokio::time::timeout(DRAIN, child.wait()).await {
+pub async fn wait_stopped(name: &str, mut child: Child) -> Result<(), String> {
+    match tokio::time::timeout(DRAIN_TIMEOUT, child.wait()).await {
         Ok(Ok(status)) if status.success() => Ok(()),
         Ok(Ok(status)) => Err(format!("{name}: ended with {status} after SIGTERM")),
         Ok(Err(e)) => Err(format!("{name}: {e}")),
-        Err(_) => Err(format!("{name}: still draining after {DRAIN:?}")),
+        Err(_) => Err(format!("{name}: still draining after {DRAIN_TIMEOUT:?}")),
     }
 }
--- a/crates/scenario/src/publish.rs
+++ b/crates/scenario/src/publish.rs
@@ -7,10 +7,14 @@
 use crate::settings;
 
 /// Pause between two looks at the versions in force.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Publishes a change of one default.
-pub async fn one(fleet: &mut Fleet, change: &str, fails: bool) -> Result<String, String> {
+pub async fn publish_default(
+    fleet: &mut Fleet,
+    change: &str,
+    fails: bool,
+) -> Result<String, String> {
     let text = settings::with_default(&fleet.text, change);
     let done = fleet.publish("operator-1", &text, &format!("set {change}"), None).await;
     match (done, fails) {
@@ -25,7 +29,7 @@
 }
 
 /// Two operators publish from the same version at once: one must win and the other be told.
-pub async fn racing(
+pub async fn publish_concurrently(
     fleet: &mut Fleet,
     base: u64,
     first: &str,
@@ -49,17 +53,17 @@
 
 /// The version in force on each daemon that lives and is not frozen; 0 when it does not tell.
 pub async fn versions(fleet: &mut Fleet) -> Result<Vec<(String, u64)>, String> {
-    let told = fleet.versions().await?;
-    let mut living = |name: &str| {
+    let reported = fleet.versions().await?;
+    let mut is_running = |name: &str| {
         let process = fleet.process(name);
-        process.is_ok_and(|p| p.wanted == Wanted::Running && p.lives())
+        process.is_ok_and(|p| p.wanted == Wanted::Running && p.is_running())
     };
-    let told = told.into_iter().filter(|(name, _)| living(name));
-    Ok(told.map(|(name, version)| (name, version.unwrap_or(0))).collect())
+    let reported = reported.into_iter().filter(|(name, _)| is_running(name));
+    Ok(reported.map(|(name, version)| (name, version.unwrap_or(0))).collect())
 }
 
 /// Waits until all living daemons have one version, higher than `above`.
-pub async fn wait(
+pub async fn wait_in_force(
     fleet: &mut Fleet,
     above: u64,
     within: Duration,
@@ -72,7 +76,7 @@
         match low == high && low > above {
             true => return Ok((low, began.elapsed())),
             false if began.elapsed() > within => return Err(format!("versions: {versions:?}")),
-            false => tokio::time::sleep(LOOK).await,
+            false => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/scenario/src/recovery.rs
+++ b/crates/scenario/src/recovery.rs
@@ -7,13 +7,13 @@
 /// Width of the window in which tokens are counted.
 const WINDOW: Duration = Duration::from_millis(200);
 /// Time before the fault that gives the former rate.
-const BEFORE: Duration = Duration::from_millis(1000);
+const BASELINE_TIME: Duration = Duration::from_millis(1000);
 /// Distance between two windows.
-const STEP: Duration = Duration::from_millis(10);
+const WINDOW_STEP: Duration = Duration::from_millis(10);
 /// A fall of the rate later than this is not laid to the fault.
-const FALL: Duration = Duration::from_millis(1000);
+const MAX_FALL_DELAY: Duration = Duration::from_millis(1000);
 /// Part of the former rate that counts as recovered.
-const RECOVERED: f64 = 0.95;
+const RECOVERED_RATIO: f64 = 0.95;
 
 /// A fault the script brought.
 #[derive(Debug, Clone)]
@@ -26,10 +26,11 @@
 
 /// One line of figures for a fault; none when no draft was under way.
 pub fn line(fault: &Fault, outcomes: &[Outcome]) -> Option<String> {
-    let mut waits: Vec<Duration> = outcomes.iter().filter_map(|o| wait(o, fault.at)).collect();
+    let mut waits: Vec<Duration> =
+        outcomes.iter().filter_map(|o| token_wait(o, fault.at)).collect();
     waits.sort_unstable();
     let longest = waits.last()?;
-    let rate = match recovered(fault.at, outcomes) {
+    let rate = match recovery_time(fault.at, outcomes) {
         Some(time) => format!("95% of the former rate after {} ms", time.as_millis()),
         None => "95% of the former rate not reached again".to_string(),
     };
@@ -43,29 +44,30 @@
 }
 
 /// From the fault to the next token of a draft that was under way.
-fn wait(out: &Outcome, at: Instant) -> Option<Duration> {
-    let next = out.times.partition_point(|t| *t <= at);
+fn token_wait(out: &Outcome, at: Instant) -> Option<Duration> {
+    let next = out.token_times.partition_point(|t| *t <= at);
     match next {
         0 => None,
-        _ => out.times.get(next).map(|t| *t - at),
+        _ => out.token_times.get(next).map(|t| *t - at),
     }
 }
 
 /// From the fault to the first full window at the former rate after the rate fell;
-/// zero when it did not fall within [`FALL`].
-fn recovered(at: Instant, outcomes: &[Outcome]) -> Option<Duration> {
-    let mut times: Vec<Instant> = outcomes.iter().flat_map(|o| o.times.iter().copied()).collect();
+/// zero when it did not fall within [`MAX_FALL_DELAY`].
+fn recovery_time(at: Instant, outcomes: &[Outcome]) -> Option<Duration> {
+    let mut times: Vec<Instant> =
+        outcomes.iter().flat_map(|o| o.token_times.iter().copied()).collect();
     times.sort_unstable();
     let rate = |from: Instant, width: Duration| {
         let tokens =
             times.partition_point(|t| *t < from + width) - times.partition_point(|t| *t < from);
         tokens as f64 / width.as_secs_f64()
     };
-    let former = rate(at.checked_sub(BEFORE)?, BEFORE);
+    let former = rate(at.checked_sub(BASELINE_TIME)?, BASELINE_TIME);
     let last = *times.last()?;
-    let windows = || (0..).map(|n| at + n * STEP).take_while(|from| *from + WINDOW <= last);
-    let full = |from: &Instant| rate(*from, WINDOW) >= RECOVERED * former;
-    match windows().take_while(|from| *from <= at + FALL).find(|from| !full(from)) {
+    let windows = || (0..).map(|n| at + n * WINDOW_STEP).take_while(|from| *from + WINDOW <= last);
+    let full = |from: &Instant| rate(*from, WINDOW) >= RECOVERED_RATIO * former;
+    match windows().take_while(|from| *from <= at + MAX_FALL_DELAY).find(|from| !full(from)) {
         None => Some(Duration::ZERO),
         Some(fell) => windows().find(|from| *from > fell && full(from)).map(|from| from - at),
     }
--- a/crates/scenario/src/repeat.rs
+++ b/crates/scenario/src/repeat.rs
@@ -50,7 +50,7 @@
 pub async fn line(outcomes: &[Outcome], log: &str) -> Option<String> {
     let mut histogram = Histogram::<u64>::new_with_max(600_000_000, 3).ok()?;
     let orders = outcomes.iter().filter(|o| o.kind == Kind::Order && o.is_right());
-    for took in orders.filter_map(|o| o.took) {
+    for took in orders.filter_map(|o| o.latency) {
         histogram.saturating_record(took.as_micros() as u64);
     }
     if histogram.is_empty() {
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -131,12 +131,12 @@
     }
     match Words::try_parse_from(words) {
         Ok(words) => Ok(Some(words.verb)),
-        Err(e) => Err(sentence(&e.to_string())),
+        Err(e) => Err(first_paragraph(&e.to_string())),
     }
 }
 
 /// The first paragraph of clap's message, on one line.
-fn sentence(text: &str) -> String {
+fn first_paragraph(text: &str) -> String {
     let text = text.strip_prefix("error: ").unwrap_or(text);
     let lines = text.lines().map(str::trim).take_while(|l| !l.starts_with("Usage:"));
     lines.filter(|l| !l.is_empty()).collect::<Vec<_>>().join(" ")
--- a/crates/scenario/src/single.rs
+++ b/crates/scenario/src/single.rs
@@ -39,15 +39,15 @@
         let began = Instant::now();
         let mut out = draft::run(caller, &job).await;
         out.crash = line.crash;
-        out.judged = line.crash || line.expect.is_some();
-        let found = status(&out);
+        out.judged_by_script = line.crash || line.expect.is_some();
+        let found = status_and_reason(&out);
         let id = out.id.clone();
         record.push(out, began);
         match line.expect {
             Some(status) if n + 1 == line.times && status != found.0 => {
                 return Err(format!("status {} in place of {status}: {}", found.0, found.1));
             }
-            _ if line.stolen => steal(caller, &id).await?,
+            _ if line.stolen => request_from_other_workspace(caller, &id).await?,
             _ => {}
         }
     }
@@ -55,7 +55,7 @@
 }
 
 /// Another workspace asks for a request by its id.
-async fn steal(caller: &Caller, id: &str) -> Result<(), String> {
+async fn request_from_other_workspace(caller: &Caller, id: &str) -> Result<(), String> {
     for (workspace, status) in [(2, 404), (1, 200)] {
         let bearer = format!("Bearer {}", settings::key(workspace));
         let uri = format!("{}/v1/completions/{id}", caller.router(0));
@@ -71,7 +71,7 @@
 }
 
 /// Status and words of an end; a refusal's line begins with its status.
-fn status(out: &Outcome) -> (u16, String) {
+fn status_and_reason(out: &Outcome) -> (u16, String) {
     match &out.verdict {
         Verdict::Right => (200, String::new()),
         Verdict::Wrong(why)
@@ -86,7 +86,7 @@
 }
 
 /// Calls until the answer is not "not run, come back", or that is what the line expects.
-async fn patient(
+async fn call_until_final(
     caller: &Caller,
     job: &write::Job,
     line: &script::Order,
@@ -95,18 +95,18 @@
     loop {
         let reply = write::call(caller, Kind::Order, job, job.router).await?;
         let pause = match &reply.problem {
-            Some(p) if p.outcome == "not-run" && !awaited(line, p.status) => p.pause(),
+            Some(p) if p.outcome == "not-run" && !is_expected(line, p.status) => p.pause(),
             _ => None,
         };
         match pause {
-            Some(pause) if began.elapsed() < write::GIVE_UP => tokio::time::sleep(pause).await,
+            Some(pause) if began.elapsed() < write::MAX_DURATION => tokio::time::sleep(pause).await,
             _ => return Ok(reply),
         }
     }
 }
 
 /// True when a "not run" of this status is what the line expects.
-fn awaited(line: &script::Order, status: u16) -> bool {
+fn is_expected(line: &script::Order, status: u16) -> bool {
     line.expect == Some(status) || line.outcome.as_deref() == Some("not-run")
 }
 
@@ -120,26 +120,26 @@
         tries: 0,
     };
     let began = Instant::now();
-    let reply = patient(caller, &job, line).await;
+    let reply = call_until_final(caller, &job, line).await;
     let reply = reply.map_err(|e| e.to_string())?;
-    let said = reply.problem.as_ref().map(|p| p.line()).unwrap_or_default();
+    let problem = reply.problem.as_ref().map(|p| p.line()).unwrap_or_default();
     let outcome = reply.problem.as_ref().map(|p| p.outcome.clone());
     let mut out = Outcome::new(Kind::Order, &line.key);
-    out.judged = true;
+    out.judged_by_script = true;
     out.verdict = match (&outcome, reply.status) {
         (Some(o), _) if o == "not-run" => {
             out.not_run.push(reply.request.clone());
-            Verdict::NotRun(said.clone())
+            Verdict::NotRun(problem.clone())
         }
-        (Some(o), _) if o == "unknown" => Verdict::Unknown(said.clone()),
+        (Some(o), _) if o == "unknown" => Verdict::Unknown(problem.clone()),
         (None, 200..300) => Verdict::Right,
-        _ => Verdict::Refused(said.clone()),
+        _ => Verdict::Refused(problem.clone()),
     };
     record.push(out, began);
     let expect = line.expect.or(line.outcome.is_none().then_some(201));
     match () {
         _ if expect.is_some_and(|status| status != reply.status) => {
-            Err(format!("status {} in place of {expect:?}: {said}", reply.status))
+            Err(format!("status {} in place of {expect:?}: {problem}", reply.status))
         }
         _ if line.replayed && !reply.replayed => Err("the answer is not a stored one".to_string()),
         _ if line.outcome.is_some() && line.outcome != outcome => {
--- a/crates/scenario/src/table.rs
+++ b/crates/scenario/src/table.rs
@@ -10,7 +10,7 @@
 use crate::script;
 
 /// Longest time a histogram holds, in microseconds.
-const LONGEST_US: u64 = 600_000_000;
+const MAX_TIME_US: u64 = 600_000_000;
 
 /// Counts of one kind of request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -51,7 +51,7 @@
 /// A batch takes `step_us` and `token_us` for each position in it. It holds `batch` steps,
 /// and the step of a whole prompt is one of them, so a bound that counts a full batch as
 /// `batch` positions is too low: a saturated fleet reached 130% of it.
-pub fn shortest(plan: &script::Fleet, steps: u64, positions: u64) -> Duration {
+pub fn min_duration(plan: &script::Fleet, steps: u64, positions: u64) -> Duration {
     let cost = |step_us: u64| {
         let own = steps as f64 * step_us as f64 / f64::from(plan.batch.max(1));
         own + (positions * plan.token_us) as f64
@@ -86,7 +86,7 @@
         "{:<9}{:>7}{:>15}{:>7}{:>9}{:>9}{:>6}{:>9}",
         "", "sent", "answered right", "wrong", "refused", "unknown", "lost", "doubled"
     );
-    let doubled = history::doubled(&figures.history.runs).len();
+    let doubled = history::duplicate_runs(&figures.history.runs).len();
     for (name, kind) in
         [("drafts", Kind::Draft), ("look-ups", Kind::Lookup), ("orders", Kind::Order)]
     {
@@ -101,10 +101,10 @@
             c.sent, c.right, c.wrong, c.refused, c.unknown, c.lost
         );
     }
-    text.push_str(&drafting(figures));
+    text.push_str(&draft_figures(figures));
     let resumes: u32 = outs.iter().map(|o| o.resumes).sum();
     let comebacks =
-        |kind: Kind| -> u32 { outs.iter().filter(|o| o.kind == kind).map(|o| o.comebacks).sum() };
+        |kind: Kind| -> u32 { outs.iter().filter(|o| o.kind == kind).map(|o| o.retries).sum() };
     let (drafts, lookups, orders) =
         (comebacks(Kind::Draft), comebacks(Kind::Lookup), comebacks(Kind::Order));
     let _ = writeln!(
@@ -120,19 +120,19 @@
     text
 }
 
-fn drafting(figures: &Figures<'_>) -> String {
+fn draft_figures(figures: &Figures<'_>) -> String {
     let drafts = || figures.outcomes.iter().filter(|o| o.kind == Kind::Draft);
     let mut text = String::new();
     if drafts().next().is_none() {
         return text;
     }
     let secs = figures.drafting.as_secs_f64().max(0.001);
-    let tokens: u64 = drafts().map(|o| o.times.len() as u64).sum();
+    let tokens: u64 = drafts().map(|o| o.token_times.len() as u64).sum();
     let positions: u64 = drafts().filter(|o| o.is_right()).map(|o| u64::from(o.positions)).sum();
     let rate = positions as f64 / secs;
-    let steps = drafts().filter(|o| o.is_right()).map(|o| o.times.len() as u64).sum();
-    let shortest = shortest(figures.plan, steps, positions).as_secs_f64().max(1e-9);
-    let (middle, most) = (middle(figures), tokens as f64 / shortest);
+    let steps = drafts().filter(|o| o.is_right()).map(|o| o.token_times.len() as u64).sum();
+    let shortest = min_duration(figures.plan, steps, positions).as_secs_f64().max(1e-9);
+    let (middle, most) = (middle_rate(figures), tokens as f64 / shortest);
     let _ =
         writeln!(text, "first token    {}", quantiles(drafts().filter_map(Outcome::first_token)));
     let _ = writeln!(text, "between tokens {}", quantiles(drafts().flat_map(Outcome::gaps)));
@@ -141,7 +141,7 @@
         &figures.history.engines,
         crate::settings::layers(figures.plan),
     );
-    text.push_str(&shares(figures.outcomes));
+    text.push_str(&workspace_shares(figures.outcomes));
     let _ = writeln!(
         text,
         "tokens a second {:.0} of {most:.0}, in the middle half of the time {middle:.0}: {:.1}%",
@@ -155,13 +155,13 @@
         positions as f64 / shortest,
         100.0 * shortest / secs
     );
-    text.push_str(&engines(figures, steps, secs));
+    text.push_str(&engine_use(figures, steps, secs));
     text
 }
 
 /// Refusals that callers were told, by cause and step.
 fn refusals(outcomes: &[Outcome]) -> String {
-    let mut told: Vec<&String> = outcomes.iter().flat_map(|o| &o.told).collect();
+    let mut told: Vec<&String> = outcomes.iter().flat_map(|o| &o.refusals).collect();
     told.sort_unstable();
     let each = told.chunk_by(|a, b| a == b);
     let lines: Vec<String> = each.map(|same| format!("{} {}", same.len(), same[0])).collect();
@@ -172,7 +172,7 @@
 }
 
 /// How full the engines were: what is missing is idle time or batches that were not full.
-fn engines(figures: &Figures<'_>, steps: u64, secs: f64) -> String {
+fn engine_use(figures: &Figures<'_>, steps: u64, secs: f64) -> String {
     let engines = &figures.history.engines;
     let busy = |e: &history::Engine| format!("{} {:.0}%", e.vm, e.busy_us as f64 / 1e4 / secs);
     let lines: Vec<String> = engines.iter().map(busy).collect();
@@ -184,8 +184,8 @@
 
 /// Tokens a second in the middle half of the drafting: without the filling of the fleet at
 /// the start and the last drafts, which run in small batches.
-fn middle(figures: &Figures<'_>) -> f64 {
-    let times = || figures.outcomes.iter().flat_map(|o| &o.times);
+fn middle_rate(figures: &Figures<'_>) -> f64 {
+    let times = || figures.outcomes.iter().flat_map(|o| &o.token_times);
     let Some(last) = times().max() else { return 0.0 };
     let quarter = figures.drafting / 4;
     let (Some(from), Some(to)) = (last.checked_sub(quarter * 3), last.checked_sub(quarter)) else {
@@ -196,36 +196,40 @@
 }
 
 /// What each workspace got of its drafts, and how even that is.
-fn shares(outcomes: &[Outcome]) -> String {
+fn workspace_shares(outcomes: &[Outcome]) -> String {
     let mut text = String::new();
     let mut served = Vec::new();
     let last = outcomes.iter().map(|o| o.workspace).max().unwrap_or(0);
     for number in 1..=last {
-        let own = || outcomes.iter().filter(|o| o.kind == Kind::Draft && o.workspace == number);
-        let (sent, right) = (own().count(), own().filter(|o| o.is_right()).count());
+        let drafts = || outcomes.iter().filter(|o| o.kind == Kind::Draft && o.workspace == number);
+        let (sent, right) = (drafts().count(), drafts().filter(|o| o.is_right()).count());
         if sent == 0 {
             continue;
         }
         served.push(right as f64 / sent as f64);
-        let first = quantiles(own().filter_map(Outcome::first_token));
-        let came: u32 = own().map(|o| o.comebacks).sum();
+        let first = quantiles(drafts().filter_map(Outcome::first_token));
+        let came: u32 = drafts().map(|o| o.retries).sum();
         let _ = writeln!(
             text,
             "workspace {number}: {right} of {sent} drafts right, came back {came} times, \
              first token {first}"
         );
     }
-    let _ = writeln!(text, "Jain's index over the workspaces' part answered {:.4}", jain(&served));
+    let _ = writeln!(
+        text,
+        "Jain's index over the workspaces' part answered {:.4}",
+        jain_index(&served)
+    );
     text
 }
 
 /// Jain's index of fairness: 1 when all have the same, 1/n when one of n has all.
 ///
 /// ```
-/// assert_eq!(scenario::table::jain(&[2.0, 2.0]), 1.0);
-/// assert_eq!(scenario::table::jain(&[1.0, 0.0]), 0.5);
+/// assert_eq!(scenario::table::jain_index(&[2.0, 2.0]), 1.0);
+/// assert_eq!(scenario::table::jain_index(&[1.0, 0.0]), 0.5);
 /// ```
-pub fn jain(values: &[f64]) -> f64 {
+pub fn jain_index(values: &[f64]) -> f64 {
     let sum: f64 = values.iter().sum();
     let squares: f64 = values.iter().map(|v| v * v).sum();
     match squares > 0.0 {
@@ -235,7 +239,7 @@
 }
 
 fn quantiles(times: impl Iterator<Item = Duration>) -> String {
-    let Ok(mut histogram) = Histogram::<u64>::new_with_max(LONGEST_US, 3) else {
+    let Ok(mut histogram) = Histogram::<u64>::new_with_max(MAX_TIME_US, 3) else {
         return String::new();
     };
     for time in times {
--- a/crates/scenario/src/trace.rs
+++ b/crates/scenario/src/trace.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 
 /// Begin of the text that a daemon writes at each change of its version.
-const MARK: &str = "settings: version ";
+const VERSION_PREFIX: &str = "settings: version ";
 
 /// One change of the version in force on a daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,7 +31,7 @@
 /// ```
 pub fn read(vm: &str, log: &str) -> Vec<Applied> {
     let line = |line: &str| {
-        let rest = line.split_once(MARK)?.1;
+        let rest = line.split_once(VERSION_PREFIX)?.1;
         let (version, rest) = rest.split_once(" is in force ")?;
         let (how, time) = rest.split_once(", ")?;
         Some(Applied {
@@ -63,9 +63,11 @@
 }
 
 /// Daemons that went back to a lower version while they ran.
-pub fn fell(applied: &[Applied]) -> Vec<String> {
-    let fell = applied.iter().filter(|a| a.before.is_some_and(|before| a.version <= before));
-    fell.map(|a| format!("{} went from version {:?} to {}", a.vm, a.before, a.version)).collect()
+pub fn version_decreases(applied: &[Applied]) -> Vec<String> {
+    let decreases = applied.iter().filter(|a| a.before.is_some_and(|before| a.version <= before));
+    decreases
+        .map(|a| format!("{} went from version {:?} to {}", a.vm, a.before, a.version))
+        .collect()
 }
 
 /// How long after it stood in the log each version was in force. A daemon's first version
--- a/crates/scenario/src/usage.rs
+++ b/crates/scenario/src/usage.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use crate::fleet::{Backend, CALL, Fleet, Vm};
+use crate::fleet::{Backend, CALL_TIMEOUT, Fleet, Vm};
 
 /// Clock ticks a second in `/proc/PID/stat`, as Linux shows them to processes.
-const TICKS: f64 = 100.0;
+const TICKS_PER_S: f64 = 100.0;
 
 /// A reading of one daemon.
 #[derive(Debug, Clone, Copy, Default)]
@@ -31,12 +31,12 @@
     let mut spent = Vec::new();
     for (vm, old) in vms.iter().zip(before) {
         let new = read(fleet, vm).await?;
-        let a_second = |old: f64, new: f64| (new - old) / time.as_secs_f64();
+        let per_second = |old: f64, new: f64| (new - old) / time.as_secs_f64();
         let reading = Reading {
-            cpu: a_second(old.cpu, new.cpu),
+            cpu: per_second(old.cpu, new.cpu),
             memory: new.memory,
-            link: a_second(old.link, new.link),
-            http: a_second(old.http, new.http),
+            link: per_second(old.link, new.link),
+            http: per_second(old.http, new.http),
         };
         spent.push((role(vm), reading));
     }
@@ -79,7 +79,7 @@
     let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("");
     let rss = rss.split_whitespace().next().and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
 
-    let http = rest::Client::new(&vm.http(), CALL);
+    let http = rest::Client::new(&vm.http(), CALL_TIMEOUT);
     let page = http.send("GET", "/metrics", &[], Default::default()).await;
     let page = page.map_err(|e| e.to_string())?;
     let text = String::from_utf8_lossy(&page.body).into_owned();
@@ -88,7 +88,7 @@
         lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok()).sum()
     };
     Ok(Reading {
-        cpu: (ticks(14) + ticks(15)) / TICKS,
+        cpu: (ticks(14) + ticks(15)) / TICKS_PER_S,
         memory: rss / 1024.0,
         link: sum("hyssop_link_bytes"),
         http: sum("hyssop_http_bytes"),
--- a/crates/scenario/src/watch.rs
+++ b/crates/scenario/src/watch.rs
@@ -8,11 +8,11 @@
 
 use crate::fleet::{Backend, Fleet, Vm};
 use crate::history;
-use crate::player::WAIT;
+use crate::player::MAX_WAIT;
 use crate::process::Wanted;
 
 /// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A task beside the script; it ends with this value.
 #[derive(Debug)]
@@ -36,8 +36,8 @@
     pub fn supervise(fleet: Arc<Mutex<Fleet>>, after: Duration) -> Watch {
         let task = tokio::spawn(async move {
             loop {
-                tokio::time::sleep(after.max(LOOK)).await;
-                revive(&mut *fleet.lock().await).await;
+                tokio::time::sleep(after.max(POLL_INTERVAL)).await;
+                restart_ended(&mut *fleet.lock().await).await;
             }
         });
         let now = Instant::now();
@@ -54,26 +54,26 @@
     pub fn leave(vm: &Vm) -> Watch {
         let began = Instant::now();
         let last = Arc::new(Lock::new(began));
-        let (vm_seen, seen) = (vm.clone(), last.clone());
+        let (watched_vm, last_seen) = (vm.clone(), last.clone());
         let before = Arc::<Lock<u64>>::default();
         let first = before.clone();
         let task = tokio::spawn(async move {
             let mut count = None;
             loop {
-                if let Ok(works) = works_begun(&vm_seen).await {
-                    if count.is_some_and(|n| works > n)
-                        && let Ok(mut last) = seen.lock()
+                if let Ok(work) = count_work(&watched_vm).await {
+                    if count.is_some_and(|n| work > n)
+                        && let Ok(mut last) = last_seen.lock()
                     {
                         *last = Instant::now();
                     }
                     if count.is_none()
                         && let Ok(mut first) = first.lock()
                     {
-                        *first = works;
+                        *first = work;
                     }
-                    count = Some(works);
+                    count = Some(work);
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         Watch { vm: vm.name.clone(), began, last, before, task }
@@ -81,7 +81,7 @@
 
     /// True when the VM had work before the watch began. Without any, its last new work
     /// would come after 0 ms whatever the routers do.
-    pub fn worked(&self) -> bool {
+    pub fn had_work(&self) -> bool {
         self.before.lock().is_ok_and(|n| *n > 0)
     }
 
@@ -93,20 +93,20 @@
 }
 
 /// Pieces of work that the backend server of a VM has begun so far.
-async fn works_begun(vm: &Vm) -> Result<u64, rest::Error> {
+async fn count_work(vm: &Vm) -> Result<u64, rest::Error> {
     match vm.backend {
         Backend::Engine(..) => {
-            let book = history::engine(&vm.backend_http(), &vm.name).await?;
-            Ok(book.sessions.len() as u64)
+            let history = history::engine(&vm.backend_http(), &vm.name).await?;
+            Ok(history.sessions.len() as u64)
         }
-        _ => history::taken(&vm.backend_http()).await,
+        _ => history::calls_taken(&vm.backend_http()).await,
     }
 }
 
-async fn revive(fleet: &mut Fleet) {
+async fn restart_ended(fleet: &mut Fleet) {
     for process in fleet.processes.iter_mut().filter(|p| p.name.ends_with(".backend")) {
         if process.wanted == Wanted::Running
-            && !process.lives()
+            && !process.is_running()
             && process.start().is_ok()
             && let Err(e) = process.ready().await
         {
@@ -121,7 +121,7 @@
     backends
         .map(|p| {
             if p.wanted == Wanted::Running {
-                p.lives();
+                p.is_running();
             }
             p.crashes
         })
@@ -129,18 +129,18 @@
 }
 
 /// Waits until the engine of a VM has opened a session.
-pub async fn works(fleet: &Arc<Mutex<Fleet>>, vm: &str) -> Result<(), String> {
+pub async fn wait_for_work(fleet: &Arc<Mutex<Fleet>>, vm: &str) -> Result<(), String> {
     let vm = fleet.lock().await.vm(vm)?;
     if !matches!(vm.backend, Backend::Engine(..)) {
         return Err(format!("{} has no engine", vm.name));
     }
     let began = Instant::now();
-    while began.elapsed() < WAIT {
-        let book = history::engine(&vm.backend_http(), &vm.name).await;
-        if book.is_ok_and(|b| !b.sessions.is_empty()) {
+    while began.elapsed() < MAX_WAIT {
+        let history = history::engine(&vm.backend_http(), &vm.name).await;
+        if history.is_ok_and(|b| !b.sessions.is_empty()) {
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(format!("{} ran nothing within {WAIT:?}", vm.name))
+    Err(format!("{} ran nothing within {MAX_WAIT:?}", vm.name))
 }
--- a/crates/scenario/src/write.rs
+++ b/crates/scenario/src/write.rs
@@ -4,12 +4,12 @@
 
 use bytes::Bytes;
 
-use crate::caller::{Caller, PATIENCE, PAUSE, Problem};
+use crate::caller::{ANSWER_TIMEOUT, Caller, MIN_PAUSE, Problem};
 use crate::outcome::{Kind, Outcome, Verdict};
 use crate::settings;
 
 /// A caller gives up on a call after this.
-pub const GIVE_UP: Duration = Duration::from_secs(60);
+pub const MAX_DURATION: Duration = Duration::from_secs(60);
 
 /// A call of the plain service.
 #[derive(Debug, Clone)]
@@ -48,7 +48,7 @@
     job: &Job,
     router: usize,
 ) -> Result<Reply, rest::Error> {
-    let http = rest::Client::new(caller.router(router), PATIENCE);
+    let http = rest::Client::new(caller.router(router), ANSWER_TIMEOUT);
     let bearer = format!("Bearer {}", settings::key(job.workspace));
     let mut headers = vec![("authorization".to_string(), bearer)];
     let (method, path) = match kind {
@@ -83,13 +83,13 @@
     let began = Instant::now();
     let mut why = String::new();
     for turn in 0..=job.tries {
-        if began.elapsed() > GIVE_UP {
+        if began.elapsed() > MAX_DURATION {
             break;
         }
         let sent = Instant::now();
         let reply = call(caller, kind, job, job.router + turn as usize).await;
-        out.took = Some(sent.elapsed());
-        let pause = match next(kind, reply, &mut out) {
+        out.latency = Some(sent.elapsed());
+        let pause = match judge_reply(kind, reply, &mut out) {
             Ok(verdict) => {
                 out.verdict = verdict;
                 return out;
@@ -99,10 +99,10 @@
                 pause
             }
         };
-        out.comebacks += 1;
+        out.retries += 1;
         tokio::time::sleep(pause).await;
     }
-    out.verdict = match out.doubts {
+    out.verdict = match out.unknowns {
         0 => Verdict::NotRun(why),
         _ => Verdict::Unknown(why),
     };
@@ -110,7 +110,7 @@
 }
 
 /// The last word, or the time to wait before coming back and why.
-fn next(
+fn judge_reply(
     kind: Kind,
     reply: Result<Reply, rest::Error>,
     out: &mut Outcome,
@@ -119,20 +119,20 @@
         Ok(reply) => reply,
         Err(e) => {
             // The same key makes the repeat of an order harmless.
-            out.doubts += u32::from(!e.unsent());
-            return Err((PAUSE, e.to_string()));
+            out.unknowns += u32::from(!e.unsent());
+            return Err((MIN_PAUSE, e.to_string()));
         }
     };
-    let Some(problem) = reply.problem else { return Ok(answered(kind, reply, out)) };
+    let Some(problem) = reply.problem else { return Ok(judge_answer(kind, reply, out)) };
     let line = problem.line();
-    out.told.push(format!("{} at {}", problem.title, problem.step));
+    out.refusals.push(format!("{} at {}", problem.title, problem.step));
     match (problem.outcome.as_str(), problem.pause()) {
         ("not-run", pause) => {
             out.not_run.push(reply.request);
             pause.map_or(Ok(Verdict::NotRun(line.clone())), |pause| Err((pause, line)))
         }
         ("unknown", pause) => {
-            out.doubts += 1;
+            out.unknowns += 1;
             pause.map_or(Ok(Verdict::Unknown(line.clone())), |pause| Err((pause, line)))
         }
         (_, Some(pause)) => Err((pause, line)),
@@ -140,7 +140,7 @@
     }
 }
 
-fn answered(kind: Kind, reply: Reply, out: &mut Outcome) -> Verdict {
+fn judge_answer(kind: Kind, reply: Reply, out: &mut Outcome) -> Verdict {
     let status = reply.status;
     let right = match kind {
         Kind::Order => (200..300).contains(&status),
--- a/crates/scenario/tests/invariants.rs
+++ b/crates/scenario/tests/invariants.rs
@@ -45,31 +45,31 @@
 #[case::skipped(Runs { runs: &[(0, 5), (6, 3)], holds: false })]
 #[case::backwards(Runs { runs: &[(3, 2), (0, 3)], holds: false })]
 fn positions_out_of_order_are_found(#[case] case: Runs) {
-    let breaches = history::order(&[engine(vec![opened("r.1.1.0", case.runs)])]);
-    assert_eq!(breaches.is_empty(), case.holds, "{breaches:?}");
+    let violations = history::position_order(&[engine(vec![opened("r.1.1.0", case.runs)])]);
+    assert_eq!(violations.is_empty(), case.holds, "{violations:?}");
 }
 
 /// A write whose answer was lost runs again on its repeat. Users get two print orders.
 #[test]
 fn a_doubled_write_is_found() {
     let runs = vec![("a".to_string(), 1), ("b".to_string(), 2)];
-    let breaches = history::doubled(&runs);
-    assert_eq!(breaches.len(), 1);
-    assert!(breaches[0].what.starts_with("b "));
+    let violations = history::duplicate_runs(&runs);
+    assert_eq!(violations.len(), 1);
+    assert!(violations[0].what.starts_with("b "));
 }
 
 /// An answer is given for an order that no service holds. Users wait for bands nobody prints.
 #[test]
 fn an_order_that_was_answered_and_never_ran_is_found() {
     let outcomes = [outcome(Kind::Order, "a", Verdict::Right)];
-    assert_eq!(history::missing(&outcomes, &vec![]).len(), 1);
-    assert!(history::missing(&outcomes, &vec![("a".to_string(), 1)]).is_empty());
+    assert_eq!(history::lost_orders(&outcomes, &vec![]).len(), 1);
+    assert!(history::lost_orders(&outcomes, &vec![("a".to_string(), 1)]).is_empty());
 }
 
 struct Ghost {
     kind: Kind,
     verdict: Verdict,
-    doubts: u32,
+    unknowns: u32,
     told: &'static str,
     found: bool,
 }
@@ -77,22 +77,22 @@
 /// "Not run" is said of something that ran. Users send it again and it runs twice. Whether
 /// another sending was answered does not matter: each has an id of its own.
 #[rstest]
-#[case::draft(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), doubts: 0, told: "gpu-1.7.x", found: true })]
-#[case::draft_then_answered(Ghost { kind: Kind::Draft, verdict: Verdict::Right, doubts: 0, told: "gpu-1.7.x", found: true })]
-#[case::draft_ran_under_another_head(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), doubts: 0, told: "gpu-2.9.x", found: true })]
-#[case::another_draft_ran(Ghost { kind: Kind::Draft, verdict: Verdict::Right, doubts: 0, told: "gpu-1.7.y", found: false })]
-#[case::order(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), doubts: 0, told: "router-1.5.a", found: true })]
-#[case::order_answered_later(Ghost { kind: Kind::Order, verdict: Verdict::Right, doubts: 0, told: "router-1.5.a", found: true })]
-#[case::order_in_doubt(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), doubts: 1, told: "router-1.5.a", found: true })]
-#[case::another_sending_ran(Ghost { kind: Kind::Order, verdict: Verdict::Right, doubts: 0, told: "router-2.5.b", found: false })]
+#[case::draft(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "gpu-1.7.x", found: true })]
+#[case::draft_then_answered(Ghost { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, told: "gpu-1.7.x", found: true })]
+#[case::draft_ran_under_another_head(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "gpu-2.9.x", found: true })]
+#[case::another_draft_ran(Ghost { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, told: "gpu-1.7.y", found: false })]
+#[case::order(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "router-1.5.a", found: true })]
+#[case::order_answered_later(Ghost { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, told: "router-1.5.a", found: true })]
+#[case::order_in_doubt(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 1, told: "router-1.5.a", found: true })]
+#[case::another_sending_ran(Ghost { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, told: "router-2.5.b", found: false })]
 fn work_that_was_told_not_run_is_found(#[case] case: Ghost) {
     let mut out = outcome(case.kind, "x", case.verdict);
-    out.doubts = case.doubts;
+    out.unknowns = case.unknowns;
     out.not_run = vec![case.told.to_string()];
     let engines = vec![engine(vec![opened("gpu-1.7.x.1.0", &[(0, 3)])])];
     let requests = vec!["router-1.5.a".to_string()];
     let history = History { engines, runs: vec![("x".to_string(), 1)], requests };
-    assert_eq!(!history::run_all_the_same(&[out], &history).is_empty(), case.found);
+    assert_eq!(!history::ran_despite_not_run(&[out], &history).is_empty(), case.found);
 }
 
 /// A session that was opened and ran nothing is no run.
@@ -105,7 +105,7 @@
         runs: vec![],
         requests: vec![],
     };
-    assert!(history::run_all_the_same(&[out], &history).is_empty());
+    assert!(history::ran_despite_not_run(&[out], &history).is_empty());
 }
 
 /// An answer differs from the straight-through one, or breaks off. Users get half a label text.
@@ -117,7 +117,7 @@
         outcome(Kind::Draft, "c", Verdict::Right),
         outcome(Kind::Draft, "d", Verdict::NotRun(String::new())),
     ];
-    assert_eq!(history::answers(&outcomes).len(), 2);
+    assert_eq!(history::bad_answers(&outcomes).len(), 2);
 }
 
 struct Layer {
@@ -144,9 +144,9 @@
     let at = Instant::now() + Duration::from_secs(5);
     let ms = |n: u64| at + Duration::from_millis(n);
     let mut under_way = outcome(Kind::Draft, "a", Verdict::Right);
-    under_way.times = vec![at - Duration::from_millis(10), ms(300)];
+    under_way.token_times = vec![at - Duration::from_millis(10), ms(300)];
     let mut later = outcome(Kind::Draft, "b", Verdict::Right);
-    later.times = vec![ms(900)];
+    later.token_times = vec![ms(900)];
     let fault = recovery::Fault { name: "kill gpu-1-1".to_string(), at };
     let line = recovery::line(&fault, &[under_way, later]).unwrap();
     assert!(line.contains("max 300 ms over 1 drafts"), "{line}");
@@ -162,5 +162,5 @@
                settings: version 0 is in force at the start, 20 ms\n";
     let applied = scenario::trace::read("gpu-1", log);
     assert_eq!(applied.len(), 4);
-    assert_eq!(scenario::trace::fell(&applied).len(), 1);
+    assert_eq!(scenario::trace::version_decreases(&applied).len(), 1);
 }
