--- a/crates/fake/src/bucket.rs
+++ b/crates/fake/src/bucket.rs
@@ -1,8 +1,8 @@
-//! A token bucket, for the stand-ins that limit a rate.
+//! A token bucket for the stand-ins that limit a rate.
 
 use std::time::{Duration, Instant};
 
-/// Tokens that refill at a steady rate up to a burst.
+/// A token bucket: tokens refill at a steady rate up to the burst size.
 #[derive(Debug, Clone)]
 pub struct Bucket {
     rate: f64,
@@ -12,7 +12,8 @@
 }
 
 impl Bucket {
-    /// A full bucket of `rate` tokens a second that holds what `burst` brings, at least one.
+    /// Creates a full bucket that gains `rate` tokens a second and holds what it gains in `burst`,
+    /// at least one token.
     ///
     /// ```
     /// use std::time::{Duration, Instant};
@@ -26,7 +27,7 @@
         Bucket { rate: f64::from(rate), burst, tokens: burst, refilled_at: now }
     }
 
-    /// Takes one token; false when there is none.
+    /// Takes one token; returns false if there is none.
     pub fn take(&mut self, now: Instant) -> bool {
         let gained = now.saturating_duration_since(self.refilled_at).as_secs_f64() * self.rate;
         self.tokens = (self.tokens + gained).min(self.burst);
--- a/crates/fake/src/engine.rs
+++ b/crates/fake/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: holds a range of layers and batches the steps of its sessions continuously.
+//! A model engine that holds a range of layers and runs the steps of its sessions in continuous batches.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -19,83 +19,83 @@
 
 use core::{Answer, Core};
 
-/// Furthest that the batch schedule may lie behind the clock.
+/// Longest time that the batch schedule may be behind the clock.
 const MAX_SCHEDULE_LAG: Duration = Duration::from_millis(5);
 
-/// Command line of an engine.
+/// Command-line options of an engine.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Model loaded at the start; empty for none.
+    /// Model loaded at start; empty for none.
     #[arg(long, default_value = "")]
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     #[arg(long, default_value_t = 1)]
     pub version: u32,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     #[arg(long, default_value_t = 12)]
     pub layers: u32,
-    /// First layer held.
+    /// First layer to hold.
     #[arg(long, default_value_t = 0)]
     pub first: u32,
-    /// Last layer held, inclusive.
+    /// Last layer to hold, inclusive.
     #[arg(long, default_value_t = 11)]
     pub last: u32,
-    /// Sessions at once.
+    /// Maximum number of concurrent sessions.
     #[arg(long, default_value_t = 64)]
     pub slots: u32,
-    /// Steps of a batch at most.
+    /// Maximum number of steps in a batch.
     #[arg(long, default_value_t = 16)]
     pub batch: usize,
-    /// Microseconds each batch takes.
+    /// Microseconds per batch.
     #[arg(long, default_value_t = 2000)]
     pub step_us: u64,
-    /// Microseconds each position of a batch adds, unless it came from the prefix cache.
+    /// Microseconds that each position adds to its batch, unless it is in the prefix cache.
     #[arg(long, default_value_t = 50)]
     pub token_us: u64,
-    /// Refuses orders with an old fencing number.
+    /// Refuse orders with an old fencing number.
     #[arg(long, default_value_t = true, action = clap::ArgAction::Set)]
     pub checks_fence: bool,
-    /// Milliseconds by which load readings and cache events are late.
+    /// Delay of load reports and cache events, in milliseconds.
     #[arg(long, default_value_t = 500)]
     pub load_lag_ms: u64,
-    /// Prefixes the cache holds.
+    /// Capacity of the prefix cache, in prefixes.
     #[arg(long, default_value_t = 64)]
     pub prefix_cache: usize,
-    /// Weight store that layers are fetched from on an order (`http://IP:PORT`).
+    /// Weight store (`http://IP:PORT`) from which an order's layers are fetched.
     #[arg(long)]
     pub weights: Option<String>,
-    /// Layers of another model that may be ordered, as `MODEL=LAYERS`; may be repeated.
+    /// Number of layers of another model that may be ordered, as `MODEL=LAYERS`; may be given several times.
     #[arg(long = "knows")]
     pub knows: Vec<String>,
 }
 
-/// Faults of an engine; a field that is left out stays as it is.
+/// Faults of an engine; an omitted field keeps its value.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// The process exits with code 137 when a session whose tag contains this runs a step.
-    /// Empty for none. A tag that contains [`CRASH_TAG`] always has this effect.
+    /// The process exits with code 137 when it runs a step of a session whose tag contains
+    /// this text. Empty for none. A tag that contains [`CRASH_TAG`] always has this effect.
     pub crash_tag: Option<String>,
-    /// Microseconds each batch takes.
+    /// Microseconds per batch.
     pub step_us: Option<u64>,
-    /// Microseconds each position of a batch adds.
+    /// Microseconds that each position adds to its batch.
     pub token_us: Option<u64>,
-    /// No step is answered, also of the batch that runs; all go on when this is set to
-    /// false again.
+    /// Answers no step, including those of the running batch, until this is set to false;
+    /// all steps then continue.
     pub hang: Option<bool>,
-    /// Steps that are answered 500 and not run.
+    /// Number of next steps that fail with 500 without running.
     pub fail_next: Option<u32>,
 }
 
-/// A session whose tag contains this crashes every engine that runs a step of it.
+/// A session whose tag contains this text crashes every engine that runs a step of it.
 pub const CRASH_TAG: &str = "[crash]";
 
-/// Exit code of a crash, as of a process that was killed.
+/// Exit code of a crash: that of a process killed by SIGKILL.
 pub const CRASH_EXIT_CODE: i32 = 137;
 
 struct Shared {
     core: Arc<Mutex<Core>>,
-    /// Tells the batch loop that a step waits.
+    /// Wakes the batch loop when a step is pending or a fault changed.
     wake: Notify,
     weights: Option<cloud::weight::Client>,
 }
@@ -167,7 +167,7 @@
     let loading = serve::lock(&shared.core).accept_order(&order).map_err(error_reply)?;
     match &shared.weights {
         Some(weights) => {
-            // Ends by itself: with the last layer, or once a newer order has come.
+            // The task ends with the last layer, or when a newer order arrives.
             tokio::spawn(load::fetch(shared.core.clone(), weights.clone(), loading));
         }
         None => {
@@ -179,7 +179,7 @@
     Ok(Reply::ok())
 }
 
-/// Runs one batch after the other while steps wait.
+/// Runs batches one after the other while steps are pending.
 async fn run_batches(shared: Arc<Shared>) {
     let mut due = Instant::now();
     loop {
@@ -188,8 +188,8 @@
             due = due.max(Instant::now());
             continue;
         };
-        // The timer rounds up to a millisecond. Batches that follow each other keep to
-        // their own schedule, so that the rounding doesn't lower the engine's rate.
+        // The timer rounds up to a millisecond. Consecutive batches are timed from the end
+        // of the previous one, so that the rounding doesn't lower the engine's rate.
         let now = Instant::now();
         due = due.max(now.checked_sub(MAX_SCHEDULE_LAG).unwrap_or(now)) + time;
         tokio::time::sleep_until(due).await;
@@ -200,7 +200,7 @@
     }
 }
 
-/// The history with the sessions that `find`, `from` and `limit` in the query ask for.
+/// Returns the history with the sessions that `find`, `from` and `limit` in the query select.
 fn history(core: &Core, call: &Call) -> history::History {
     let sessions = call.page(core.history.find(call.query_text("find")));
     core.history.with_sessions(sessions)
--- a/crates/fake/src/engine/cache.rs
+++ b/crates/fake/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and its events, which come late and with gaps.
+//! The prefix cache and its events, which are delayed and have gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 
 use crate::model;
 
-/// Positions of a block; prefixes are cached in whole blocks.
+/// Positions per block; prefixes are cached in whole blocks.
 pub const BLOCK_POSITIONS: usize = 16;
 
-/// Events kept for readers.
+/// Maximum number of events kept for readers.
 const MAX_EVENTS: usize = 4096;
 
-/// Events of an answer at most.
+/// Maximum number of events in one answer.
 const MAX_PAGE_EVENTS: usize = 1000;
 
-/// One event in this many is never published.
+/// One in this many events is never published.
 const GAP_ONE_IN: u64 = 8;
 
-/// Prefixes by hash, the least recently used of which makes room.
+/// Prefixes by hash; the least recently used one is evicted when the cache is full.
 #[derive(Debug)]
 pub(crate) struct Cache {
     /// Sorted by hash.
@@ -42,7 +42,7 @@
         Cache { entries: Vec::new(), limit, uses: 0, events: VecDeque::new(), next: 0 }
     }
 
-    /// Positions at the start of `inputs` that are cached.
+    /// Returns the number of positions at the start of `inputs` that are cached.
     pub(crate) fn cached_positions(&mut self, inputs: &[u64]) -> u32 {
         let mut cached = 0;
         for prefix in block_hashes(inputs) {
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Forgets everything, as on loading other weights.
+    /// Evicts all entries, as when other weights are loaded.
     pub(crate) fn clear(&mut self, now: Instant) {
         for entry in std::mem::take(&mut self.entries) {
             self.publish(entry.prefix, false, now);
         }
     }
 
-    /// Events from number `from` that are older than `lag`.
+    /// Returns the events from number `from` on that are older than `lag`.
     pub(crate) fn events(&self, from: u64, lag: Duration, now: Instant) -> Vec<Event> {
         let visible = |e: &&(Instant, Event)| e.0 + lag <= now && e.1.number >= from;
         self.events.iter().filter(visible).take(MAX_PAGE_EVENTS).map(|e| e.1.clone()).collect()
@@ -110,7 +110,7 @@
     }
 }
 
-/// Hash of the first block, of the first two blocks, and so on.
+/// Returns the hash of the first block, of the first two blocks, and so on.
 fn block_hashes(inputs: &[u64]) -> impl Iterator<Item = u64> {
     let blocks = inputs.chunks_exact(BLOCK_POSITIONS);
     blocks.scan(0, |hash, block| {
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! State of an engine, without a network: sessions, batches and orders.
+//! State of an engine without the HTTP interface: sessions, batches and orders.
 
 use std::time::Duration;
 
@@ -13,27 +13,28 @@
 use crate::model::{self, Range};
 use crate::serve;
 
-/// Status and reason of a refusal.
+/// HTTP status and reason of a refusal.
 pub(crate) type Refusal = (u16, &'static str);
 
-/// Outcome of a step.
+/// Result of a step.
 pub(crate) type Answer = Result<Output, Refusal>;
 
-/// Weight of a new batch in the mean step time: one in this many.
+/// A new batch has a weight of one in this many in the mean batch time.
 const MEAN_BATCHES: u64 = 8;
 
-/// What an engine holds.
+/// The state of an engine.
 pub(crate) struct Core {
     options: Options,
     incarnation: String,
     range: Option<Range>,
-    /// Number of the order that is being carried out.
+    /// Number of the order whose layers are being loaded.
     loading: Option<u64>,
     orders: u64,
     fence: u64,
     /// Sorted by id.
     sessions: Vec<OpenSession>,
-    /// Counts sessions and steps, to tell one from a later one of the same name.
+    /// Counts sessions and steps. Numbers a session, to distinguish it from a later one of the
+    /// same id, and orders steps by arrival.
     count: u64,
     crash_tag: String,
     hang: bool,
@@ -60,7 +61,7 @@
     reply: oneshot::Sender<Answer>,
 }
 
-/// A session chosen for a batch.
+/// A session that takes part in a batch.
 #[derive(Debug, Clone)]
 pub(crate) struct BatchEntry {
     session: String,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Takes a step to wait for a batch; its answer goes to `reply`.
+    /// Queues a step for a batch; its result is sent to `reply`.
     pub(crate) fn enqueue_step(
         &mut self,
         id: &str,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Ends a session. The answer to its step, if one waits, is dropped and read as 410.
+    /// Ends a session. A pending step is dropped and answered with 410.
     pub(crate) fn cancel(&mut self, id: &str) -> Result<(), Refusal> {
         let i = self.find(id).map_err(|_| (404, "no such session"))?;
         self.sessions.remove(i);
@@ -196,7 +197,7 @@
         }
     }
 
-    /// Chooses the next batch and says how long it takes; none while no step waits.
+    /// Returns the next batch and its duration; `None` while no step is pending or the engine hangs.
     pub(crate) fn next_batch(&mut self) -> Option<(Vec<BatchEntry>, Duration)> {
         let waits = |i: &usize| self.sessions[*i].pending.is_some();
         let mut order: Vec<usize> = (0..self.sessions.len()).filter(waits).collect();
@@ -225,7 +226,7 @@
         Some((batch, Duration::from_micros(us)))
     }
 
-    /// Computes a batch and answers its steps. Sessions that ended meanwhile are left out.
+    /// Computes a batch and answers its steps. Skips sessions that ended meanwhile.
     pub(crate) fn finish_batch(&mut self, batch: &[BatchEntry], time: Duration) {
         let us = time.as_micros() as u64;
         self.mean_us = (self.mean_us * (MEAN_BATCHES - 1) + us) / MEAN_BATCHES;
@@ -263,7 +264,7 @@
         let _ = pending.reply.send(Ok(Output { outputs, token, cached: pending.cached }));
     }
 
-    /// Accepts an order; the sessions in progress end at once.
+    /// Accepts an order and ends all sessions.
     pub(crate) fn accept_order(&mut self, order: &Order) -> Result<Loading, Refusal> {
         let layers = self.layers_of(&order.model);
         match () {
@@ -288,7 +289,7 @@
         self.loading == Some(number)
     }
 
-    /// Puts the layers of an order in place, unless a newer order has come.
+    /// Replaces the layers with those of an order, unless a newer order arrived.
     pub(crate) fn finish_loading(&mut self, number: u64, range: Range) {
         if self.is_loading(number) {
             self.loading = None;
@@ -337,10 +338,10 @@
     }
 }
 
-/// Ends the process as a crash of the engine does: at once and without an answer to anyone.
+/// Exits the process if a tag demands it, as in a crash: at once, without answering any request.
 fn exit_on_crash_tag(tag: &str, crash_tag: &str) {
     if tag.contains(CRASH_TAG) || (!crash_tag.is_empty() && tag.contains(crash_tag)) {
-        log::error!("engine: crashed by a request");
+        log::error!("engine: request with a crash tag; exiting");
         std::process::exit(CRASH_EXIT_CODE);
     }
 }
--- a/crates/fake/src/engine/history.rs
+++ b/crates/fake/src/engine/history.rs
@@ -1,61 +1,61 @@
-//! What an engine ran, for tests that count layer runs.
+//! The history of an engine process, for tests that count layer runs.
 
 use engine::{Order, Session};
 use serde::{Deserialize, Serialize};
 
 use crate::model::Range;
 
-/// Sessions the book holds; later ones are only counted.
+/// Maximum number of sessions listed; later ones are only counted.
 pub const MAX_SESSIONS: usize = 200_000;
 
-/// Orders the book holds; later ones are only counted.
+/// Maximum number of orders listed; later ones are not recorded.
 pub const MAX_ORDERS: usize = 10_000;
 
-/// Everything an engine process did since its start.
+/// What an engine process did since its start.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct History {
     /// Incarnation of the process.
     pub incarnation: String,
-    /// Orders accepted, in order.
+    /// Accepted orders, oldest first.
     pub orders: Vec<Order>,
-    /// Orders refused for their fencing number.
+    /// Number of orders refused for an old fencing number.
     pub refused: u64,
-    /// Sessions ever opened, in order of opening.
+    /// Sessions in the order in which they were opened.
     pub sessions: Vec<SessionRuns>,
-    /// Sessions that no longer fitted into the book.
+    /// Number of sessions opened after [`MAX_SESSIONS`] was reached.
     pub unlisted: u64,
-    /// Positions run, over all sessions.
+    /// Number of positions run, over all sessions.
     pub positions: u64,
-    /// Layers run, over all positions.
+    /// Number of layer runs, over all positions.
     pub layer_runs: u64,
-    /// Batches run.
+    /// Number of batches run.
     pub batches: u64,
-    /// Microseconds that the batches took.
+    /// Total duration of the batches, in microseconds.
     pub busy_us: u64,
-    /// Positions saved by the prefix cache.
+    /// Number of positions served from the prefix cache.
     pub cached: u64,
 }
 
-/// One session and the positions it ran.
+/// A session and the positions that it ran.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct SessionRuns {
-    /// Id given by the agent.
+    /// Session id, chosen by the agent.
     pub session: String,
-    /// Tag given by the agent.
+    /// Tag, chosen by the agent.
     pub tag: String,
     /// Model that ran.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: u32,
     /// First layer of the range that ran.
     pub first: u32,
-    /// Last layer of it, inclusive.
+    /// Last layer of the range, inclusive.
     pub last: u32,
-    /// Positions run, in order; each ran every layer of the range once.
+    /// Positions run, in order; each position ran every layer of the range once.
     pub runs: Vec<Run>,
 }
 
-/// Consecutive positions.
+/// A run of consecutive positions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
     /// First position.
@@ -65,12 +65,12 @@
 }
 
 impl SessionRuns {
-    /// Positions run, repeated ones counted again.
+    /// Returns the number of positions run; a repeated position counts each time.
     pub fn positions(&self) -> u64 {
         self.runs.iter().map(|r| u64::from(r.count)).sum()
     }
 
-    /// A position that was run twice in this session, if there is one.
+    /// Returns a position that ran twice in this session, if there is one.
     ///
     /// ```
     /// use fake::engine::history::{SessionRuns, Run};
@@ -87,19 +87,19 @@
 }
 
 impl History {
-    /// Sessions whose id or tag contains `part`, such as a request's id.
+    /// Returns the sessions whose id or tag contains `part`, such as a request id.
     pub fn find<'a>(&'a self, part: &'a str) -> impl Iterator<Item = &'a SessionRuns> {
         self.sessions.iter().filter(move |s| s.session.contains(part) || s.tag.contains(part))
     }
 
-    /// The history with other sessions in place of all of them.
+    /// Returns a copy that lists `sessions` instead of all sessions.
     pub(crate) fn with_sessions(&self, sessions: Vec<SessionRuns>) -> History {
         let History { incarnation, orders, .. } = self;
         let (incarnation, orders) = (incarnation.clone(), orders.clone());
         History { incarnation, orders, sessions, ..*self }
     }
 
-    /// Enters a session; gives its index, or none when the book is full.
+    /// Adds a session; returns its index, or `None` if the list is full.
     pub(crate) fn record_session(&mut self, session: &Session, range: &Range) -> Option<usize> {
         if self.sessions.len() >= MAX_SESSIONS {
             self.unlisted += 1;
@@ -117,7 +117,7 @@
         Some(self.sessions.len() - 1)
     }
 
-    /// Enters the positions of a step.
+    /// Adds the positions of a step.
     pub(crate) fn record_run(&mut self, index: Option<usize>, run: Run, layers: usize) {
         self.positions += u64::from(run.count);
         self.layer_runs += u64::from(run.count) * layers as u64;
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Enters an accepted order.
+    /// Adds an accepted order.
     pub(crate) fn record_order(&mut self, order: &Order) {
         if self.orders.len() < MAX_ORDERS {
             self.orders.push(order.clone());
--- a/crates/fake/src/engine/load.rs
+++ b/crates/fake/src/engine/load.rs
@@ -1,4 +1,4 @@
-//! Loading of layers, and the engine's lagging view of its load.
+//! Loading of layers, and the delayed load reports of an engine.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -12,26 +12,26 @@
 use crate::model::Range;
 use crate::serve;
 
-/// Time between two readings.
+/// Interval between two samples of the load.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Samples kept at most.
+/// Maximum number of samples kept.
 const MAX_SAMPLES: usize = 3000;
 
-/// Pause before a layer is asked for again.
+/// Delay before a failed fetch of a layer is retried.
 const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An order that is being carried out.
+/// An order whose layers are being loaded.
 #[derive(Debug, Clone)]
 pub(crate) struct Loading {
     pub order: Order,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub layers: u32,
-    /// Number of the order; a newer one ends it.
+    /// Number of the order; a newer order cancels it.
     pub number: u64,
 }
 
-/// Fetches the layers of an order one by one, then puts them in place.
+/// Fetches the layers of an order one by one, then loads them into the engine.
 pub(crate) async fn fetch(core: Arc<Mutex<Core>>, weights: Client, loading: Loading) {
     let Loading { order, layers, number } = loading;
     let mut seeds = Vec::new();
@@ -49,7 +49,7 @@
     serve::lock(&core).finish_loading(number, Range { model, version, layers, first, seeds });
 }
 
-/// Takes a reading of the load again and again.
+/// Samples the load periodically.
 pub(crate) async fn sample(core: Arc<Mutex<Core>>) {
     loop {
         serve::lock(&core).sample_load(Instant::now());
@@ -57,12 +57,12 @@
     }
 }
 
-/// Samples of the last while.
+/// Recent samples of the load.
 #[derive(Debug, Default)]
 pub(crate) struct LoadSamples(VecDeque<(Instant, Load)>);
 
 impl LoadSamples {
-    /// Adds a reading and drops those that are too old to be asked for.
+    /// Adds a sample and drops those that are too old to be reported.
     pub(crate) fn push(&mut self, now: Instant, load: Load, lag: Duration) {
         let too_old = |r: &(Instant, Load)| r.0 + lag < now;
         while self.0.get(1).is_some_and(too_old) || self.0.len() >= MAX_SAMPLES {
@@ -71,7 +71,8 @@
         self.0.push_back((now, load));
     }
 
-    /// The newest reading that is at least `lag` old; an idle engine before there is one.
+    /// Returns the newest sample that is at least `lag` old; before there is one, the load of an
+    /// idle engine.
     pub(crate) fn delayed(&self, now: Instant, lag: Duration) -> Load {
         let found = self.0.iter().rev().find(|r| r.0 + lag <= now);
         let age = |at: Instant| now.saturating_duration_since(at).as_millis() as u64;
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,8 +1,9 @@
-//! Stand-ins for what the system meets: engine, service, log, VM list, weight store, link.
+//! Stand-ins for the external systems: engine, service, log, VM list, weight store, link.
 //!
-//! Each module has its `Options` (the command line of its subcommand) and a `start`
-//! that serves on a bound listener, so that tests run a stand-in in their own process.
-//! Faults are set at `POST /~fake/control`; what happened is read at `GET /~fake/books`.
+//! Each module has `Options` (the command line of its subcommand) and `start`, which
+//! serves on a bound listener, so that tests can run a stand-in in their own process.
+//! `POST /~fake/control` injects faults; `GET /~fake/books` returns what the stand-in did:
+//! the history of an engine, the writes of a service, the counters of the others.
 
 pub mod serve;
 pub mod bucket;
--- a/crates/fake/src/link.rs
+++ b/crates/fake/src/link.rs
@@ -1,7 +1,7 @@
-//! A relay of datagrams between VMs that cuts, delays, drops and doubles them.
+//! A relay of datagrams between VMs that cuts links and delays, drops and duplicates datagrams.
 //!
-//! Each process of the system binds its own loopback address, so a relay knows the
-//! source of a datagram by its IP.
+//! Each process of the system binds its own loopback address, so a relay identifies the
+//! source of a datagram by its IP address.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -15,78 +15,79 @@
 mod relay;
 mod queue;
 
-/// Relays at most.
+/// Maximum number of relays.
 const MAX_RELAYS: usize = 1000;
 
-/// Faults in force at most.
+/// Maximum number of active faults.
 const MAX_FAULTS: usize = 10_000;
 
-/// Command line of the link.
+/// Command-line options of the link.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seed of the draws for loss and doubling.
+    /// Random seed for loss and duplication.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// A relay: what comes to `listen` goes on to `target`.
+/// A relay that forwards datagrams from `listen` to `target`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Link {
-    /// Address that datagrams are sent to.
+    /// Address on which the relay receives datagrams.
     pub listen: SocketAddr,
-    /// Address they are sent on to.
+    /// Address to which it forwards them.
     pub target: SocketAddr,
 }
 
-/// What happens to the datagrams between a source and a relay, both ways.
+/// A fault of the datagrams between a source and a relay, in both directions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// IP of the source, an IP prefix that ends with a dot, or `*`.
+    /// IP address of the source, an address prefix that ends with a dot, or `*`.
     pub from: String,
-    /// Listening address or IP of the relay, an IP prefix that ends with a dot, or `*`.
+    /// Listening address or IP address of the relay or its target, an address prefix that ends with
+    /// a dot, or `*`.
     pub to: String,
-    /// Nothing is delivered.
+    /// Drops all datagrams.
     pub cut: bool,
-    /// Milliseconds each datagram is held.
+    /// Delay of each datagram, in milliseconds.
     pub delay_ms: u64,
-    /// Share of datagrams dropped, 0 to 1.
+    /// Share of the datagrams that are dropped, 0 to 1.
     pub loss: f64,
-    /// Share of datagrams sent twice, 0 to 1.
+    /// Share of the datagrams that are sent twice, 0 to 1.
     pub duplicate: f64,
-    /// Ends the fault of this `from` and `to`.
+    /// Removes the fault with this `from` and `to`.
     pub clear: bool,
-    /// Holds as well for what the process behind `to` sends through the relay of `from`.
+    /// Applies also to what the process behind `to` sends through the relay of `from`.
     pub mirror: bool,
 }
 
-/// What one relay did, both ways counted together.
+/// Counters of a relay, for both directions together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Datagrams that came in.
+    /// Datagrams received.
     pub received: u64,
-    /// Datagrams sent on, doubles counted.
+    /// Datagrams forwarded, duplicates included.
     pub delivered: u64,
-    /// Datagrams dropped by a cut.
+    /// Datagrams dropped by a cut link.
     pub cut: u64,
-    /// Datagrams dropped by chance.
+    /// Datagrams dropped by random loss.
     pub lost: u64,
     /// Datagrams sent twice.
     pub doubled: u64,
-    /// Datagrams dropped since too many were held.
+    /// Datagrams dropped because the queue of delayed datagrams was full.
     pub overflow: u64,
 }
 
-/// A relay and what it did.
+/// A relay and its counters.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RelayStats {
     /// The relay.
     pub link: Link,
-    /// What it did.
+    /// Its counters.
     pub count: Counters,
 }
 
-/// Sum of the faults that hold for a datagram.
+/// Combined effect of the faults that apply to a datagram.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Effect {
     pub cut: bool,
@@ -95,7 +96,7 @@
     pub duplicate: f64,
 }
 
-/// Links and faults, shared by the relays.
+/// Relays and faults, shared by all relays.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     links: Vec<Link>,
@@ -103,7 +104,7 @@
 }
 
 impl Table {
-    /// Effect on what `source` sends through `link`, and on the answers.
+    /// Returns the effect on the datagrams that `source` sends through `link`, and on the answers.
     pub(crate) fn effect(&self, source: IpAddr, link: &Link) -> Effect {
         let holds = |f: &&Fault| {
             let forward = matches(&f.from, source, None) && self.is_end(&f.to, link);
@@ -130,7 +131,7 @@
     }
 }
 
-/// Serves a link on `listener`; the relays come by `POST /~fake/links`.
+/// Serves a link on `listener`; `POST /~fake/links` adds relays.
 pub fn start(listener: TcpListener, options: Options) -> std::io::Result<Server> {
     let table = Arc::new(Mutex::new(Table::default()));
     let relays = Arc::new(Mutex::new(Vec::new()));
--- a/crates/fake/src/link/queue.rs
+++ b/crates/fake/src/link/queue.rs
@@ -1,4 +1,4 @@
-//! Datagrams that wait for their time.
+//! A queue of delayed datagrams.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,10 +9,10 @@
 
 use crate::serve;
 
-/// Datagrams held at once; a further one is dropped, as a full buffer of a link does.
+/// Maximum number of queued datagrams; a further one is dropped, as by a full link buffer.
 const MAX_DATAGRAMS: usize = 20_000;
 
-/// A queue in order of due time, and of arrival among equals.
+/// A queue ordered by due time, then by arrival.
 #[derive(Debug)]
 pub(crate) struct Queue<T> {
     heap: Arc<Mutex<Heap<T>>>,
@@ -64,7 +64,7 @@
         Queue { heap: Arc::new(Mutex::new(heap)), changed: Arc::new(Notify::new()) }
     }
 
-    /// Holds `item` until `due`; false when the queue is full.
+    /// Queues `item` until `due`; returns false if the queue is full.
     pub(crate) fn push(&self, due: Instant, item: T) -> bool {
         let mut heap = serve::lock(&self.heap);
         if heap.entries.len() >= MAX_DATAGRAMS {
@@ -80,7 +80,7 @@
         true
     }
 
-    /// The next item, when its time has come.
+    /// Waits until the next item is due and returns it.
     pub(crate) async fn pop(&self) -> T {
         loop {
             let due = match self.pop_due(Instant::now()) {
--- a/crates/fake/src/link/relay.rs
+++ b/crates/fake/src/link/relay.rs
@@ -1,4 +1,4 @@
-//! One relay: a listening socket, and an upstream socket for each source.
+//! A relay: a listening socket, and an upstream socket per source.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -14,10 +14,10 @@
 use super::{Counters, Effect, Link, Table};
 use crate::serve;
 
-/// Longest datagram.
+/// Maximum size of a datagram.
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// Sources of a relay at once; the one that was silent longest makes room.
+/// Maximum number of sources per relay; the source idle for longest is removed for a new one.
 const MAX_SOURCES: usize = 1024;
 
 /// A relay that runs until it is dropped.
@@ -71,7 +71,7 @@
     }
 }
 
-/// Listens and relays. Port 0 in `link.listen` takes a free port.
+/// Starts a relay. Port 0 in `link.listen` selects a free port.
 pub(crate) async fn start(
     mut link: Link,
     table: Arc<Mutex<Table>>,
@@ -97,7 +97,7 @@
     let mut flows: Vec<Flow> = Vec::new();
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error here is a port unreachable notice for an earlier datagram.
+        // An error here reports that the port of an earlier datagram was unreachable.
         let Ok((len, source)) = socket.recv_from(&mut buf).await else { continue };
         let Ok(upstream) = upstream_for(&core, &socket, &mut flows, source).await else { continue };
         let data = Bytes::copy_from_slice(&buf[..len]);
@@ -141,7 +141,7 @@
     let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((len, from)) = upstream.recv_from(&mut buf).await else { continue };
-        // Only the target's answers belong to this flow.
+        // Only datagrams from the target belong to this flow.
         if from == core.link.target {
             let data = Bytes::copy_from_slice(&buf[..len]);
             let socket = socket.clone();
@@ -150,7 +150,7 @@
     }
 }
 
-/// Sends a datagram on, holds it or drops it, as the faults in force say.
+/// Forwards, delays or drops a datagram, depending on the active faults.
 async fn relay_datagram(core: &Core, datagram: Datagram) {
     let effect = serve::lock(&core.table).effect(datagram.source, &core.link);
     let copies = draw_copies(core, &effect);
@@ -186,8 +186,8 @@
     }
 }
 
-/// Sends what was held. A datagram held when the link was cut is dropped, since
-/// otherwise a cut link would still deliver for as long as its delay.
+/// Sends delayed datagrams when they are due. Datagrams that were queued when the link was
+/// cut are dropped; otherwise a cut link would still deliver datagrams for as long as its delay.
 async fn deliver_delayed(core: Arc<Core>) {
     loop {
         let datagram = core.queue.pop().await;
--- a/crates/fake/src/log.rs
+++ b/crates/fake/src/log.rs
@@ -12,89 +12,89 @@
 use crate::bucket::Bucket;
 use crate::serve::{self, Call, Reply, Server};
 
-/// Records of a page at most.
+/// Maximum number of records in a page.
 pub const MAX_PAGE_RECORDS: usize = 1000;
 
-/// Text of a page at most, in bytes, so that a page stays below the client's limit.
+/// Maximum size of the texts in a page, so that it stays below the client's limit.
 const MAX_PAGE_BYTES: usize = 4 << 20;
 
-/// Text of a record at most, in bytes.
+/// Maximum size of the text of a record.
 const MAX_RECORD_BYTES: usize = 1 << 20;
 
-/// Streams at most.
+/// Maximum number of streams.
 const MAX_STREAMS: usize = 10_000;
 
-/// How much of a second's rate may be taken at once.
+/// Burst size: appends that the rate allows in this time are accepted at once.
 const BURST: Duration = Duration::from_millis(250);
 
-/// Longest wait of a read.
+/// Longest time that a read waits for a record.
 const MAX_WAIT: Duration = Duration::from_secs(60);
 
-/// Command line of the log service.
+/// Command-line options of the log service.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Appends a second, over all streams.
+    /// Maximum number of appends a second, over all streams.
     #[arg(long, default_value_t = 400)]
     pub rate: u32,
-    /// Records kept of each stream.
+    /// Number of records retained per stream.
     #[arg(long, default_value_t = 200_000)]
     pub retain: usize,
 }
 
-/// Faults of the log service; a field that is left out stays as it is.
+/// Faults of the log service; an omitted field keeps its value.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Answers 503 to everything.
+    /// Answers every request with 503.
     pub outage: Option<bool>,
-    /// Appends that take effect but whose connection is closed without an answer.
+    /// Number of next appends that take effect but whose connection is closed without an answer.
     pub lose_answers: Option<u32>,
-    /// Appends that are answered 503 and have no effect.
+    /// Number of next appends that fail with 503 and have no effect.
     pub refuse_next: Option<u32>,
-    /// Milliseconds every answer waits, after the effect of an append.
+    /// Delay of every answer in milliseconds, after an append has taken effect.
     pub delay_ms: Option<u64>,
-    /// Appends a second, over all streams.
+    /// Maximum number of appends a second, over all streams.
     pub rate: Option<u32>,
-    /// Records kept of each stream.
+    /// Number of records retained per stream.
     pub retain: Option<usize>,
-    /// Drops old records of a stream at once.
+    /// Expires old records of a stream at once.
     pub expire: Option<Expire>,
 }
 
-/// Which records expire.
+/// The records to expire.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Expire {
     /// Name of the stream.
     pub stream: String,
-    /// Oldest offset that is kept.
+    /// Oldest offset that is retained.
     pub before: Offset,
 }
 
-/// What the log service did.
+/// Counters of the log service.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Streams in order of name.
+    /// Streams, sorted by name.
     pub streams: Vec<StreamStats>,
-    /// Appends that took effect.
+    /// Number of appends that took effect.
     pub appends: u64,
-    /// Appends in the busiest second.
+    /// Number of appends in the busiest second.
     pub busiest_second: u64,
-    /// Appends refused for the rate.
+    /// Number of appends refused because of the rate limit.
     pub refused: u64,
-    /// Reads answered.
+    /// Number of reads answered.
     pub reads: u64,
 }
 
-/// Extent of one stream.
+/// Extent of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StreamStats {
     /// Name of the stream.
     pub stream: String,
-    /// Oldest offset kept.
+    /// Oldest offset retained.
     pub first: Offset,
     /// Offset of the next record.
     pub next: Offset,
-    /// Bytes of text appended since the start.
+    /// Bytes of text appended since the process started.
     pub bytes: u64,
 }
 
@@ -151,8 +151,8 @@
         ("POST", ["v1", "streams", name]) => {
             let body: Append = call.json()?;
             let reply = append(&mut serve::lock(shared), name, body.data);
-            // The delay follows the effect: a client that gives up meanwhile can't tell
-            // whether its record stands, which is the case the system has to settle.
+            // The delay follows the effect, so a client that times out meanwhile can't know
+            // whether its record was appended. The system under test has to resolve this case.
             let delay = serve::lock(shared).delay;
             tokio::time::sleep(delay).await;
             reply
@@ -203,8 +203,8 @@
             }
             stream(&mut service, name)?.appended.clone()
         };
-        // Registered before the look at the records, so that an append between the two
-        // wakes this read instead of leaving it waiting until its time is up.
+        // Registers before reading the records, so that an append between the two wakes
+        // this read; otherwise it would wait until its time-out.
         let mut notified = std::pin::pin!(appended.notified());
         notified.as_mut().enable();
         let page = page(stream(&mut serve::lock(shared), name)?, from);
@@ -243,7 +243,7 @@
     Ok(&mut service.streams[i])
 }
 
-/// Keeps at most `retain` records and none before `next - retain` or an explicit offset.
+/// Drops the records before offset `next - retain`.
 fn expire(stream: &mut Stream, next: Offset, retain: usize) {
     let first = next.saturating_sub(retain as u64);
     while stream.first < first && stream.records.pop_front().is_some() {
@@ -275,7 +275,7 @@
         let next = stream.first + stream.records.len() as u64;
         let before = fault.expire.as_ref().filter(|e| e.stream == stream.name).map(|e| e.before);
         expire(stream, next, service.retain.min(next.saturating_sub(before.unwrap_or(0)) as usize));
-        // Reads that wait see an outage at once instead of after their wait.
+        // Wakes waiting reads, so that they see an outage at once and not after their time-out.
         stream.appended.notify_waiters();
     }
 }
--- a/crates/fake/src/main.rs
+++ b/crates/fake/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process of its own.
+//! Runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use simplelog::{ColorChoice, Config, LevelFilter, TermLogger, TerminalMode};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Stand-ins for what the system meets, for tests and scenarios on loopback.
+/// Stand-ins for the external systems, for tests and scenarios on loopback.
 #[derive(Debug, Parser)]
 #[command(name = "hyssop-fake", version)]
 struct Args {
@@ -17,9 +17,9 @@
 
 #[derive(Debug, Subcommand)]
 enum Part {
-    /// A model engine which holds a range of layers.
+    /// A model engine that holds a range of layers.
     Engine(Listen<engine::Options>),
-    /// A plain service which records writes.
+    /// A plain service that records writes.
     Service(Listen<service::Options>),
     /// The append-only log service.
     Log(Listen<log::Options>),
@@ -27,24 +27,24 @@
     Vms(Listen<vms::Options>),
     /// The weight store.
     Weights(Listen<weights::Options>),
-    /// A relay of datagrams which cuts, delays, drops and doubles them.
+    /// A datagram relay that cuts links and delays, drops and duplicates datagrams.
     Link(Listen<link::Options>),
 }
 
 #[derive(Debug, clap::Args)]
 struct Listen<T: clap::Args> {
-    /// IP and TCP port to serve HTTP on.
+    /// IP address and TCP port to serve HTTP on.
     #[arg(long)]
     listen: SocketAddr,
     #[command(flatten)]
     options: T,
 }
 
-// Many stand-ins share a machine, so each keeps to few threads.
+// Many stand-ins share a machine, so each uses few threads.
 #[tokio::main(worker_threads = 2)]
 async fn main() -> std::io::Result<()> {
     let args = Args::parse();
-    // Standard output carries the `ready` line alone, so logs go to standard error.
+    // Standard output carries only the `ready` line, so logs go to standard error.
     let _ = TermLogger::init(
         LevelFilter::Info,
         Config::default(),
--- a/crates/fake/src/model.rs
+++ b/crates/fake/src/model.rs
@@ -1,6 +1,6 @@
-//! The model that the engines compute: a real function of every layer run.
+//! The model that the engines compute: a function of every layer run.
 //!
-//! Each layer mixes its seed, its input, its state so far and the position, and then
+//! Each layer hashes its seed, its input, its current state and the position, then hashes
 //! its output into its state. A layer that is skipped, run twice or run out of order
 //! changes every later token, so an answer proves how it was computed.
 
@@ -10,16 +10,16 @@
 /// Number of token ids.
 pub const VOCAB: u64 = 4096;
 
-/// One token in this many ends the answer.
+/// One in this many tokens ends the answer.
 const END_ONE_IN: u64 = 64;
 
-/// Digits of a token's word.
+/// Digits of the word that stands for a token.
 const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
 
-/// Length of a token's word after its `w`.
+/// Number of digits after the `w` of a token's word.
 const WORD_DIGITS: usize = 3;
 
-/// Seed of a layer, as the weight store hands it out.
+/// Returns the seed of a layer, as the weight store serves it.
 ///
 /// ```
 /// use fake::model::seed;
@@ -30,12 +30,12 @@
     mix([xxh3_64(model.as_bytes()), u64::from(version), u64::from(layer), 1])
 }
 
-/// Hidden state that a token id enters the first layer with.
+/// Returns the hidden state with which a token id enters the first layer.
 pub fn embed(id: u64) -> u64 {
     mix([id])
 }
 
-/// Token sampled from the hidden state that left the last layer.
+/// Samples a token from the hidden state that the last layer returned.
 ///
 /// ```
 /// let token = fake::model::sample(4097);
@@ -46,7 +46,7 @@
     Token { id, text: format!(" {}", word(id)), end: (x >> 32).is_multiple_of(END_ONE_IN) }
 }
 
-/// Ids of the words of `text`, at least one. The text of a token gives its own id back.
+/// Returns the ids of the words of `text`, at least one. The text of a token maps back to its id.
 ///
 /// ```
 /// use fake::model::{sample, tokenize};
@@ -61,7 +61,7 @@
     }
 }
 
-/// Hash of a prefix, the name under which engines cache it and publish events.
+/// Hashes a prefix. Engines use the hash as the cache key and in cache events.
 ///
 /// ```
 /// use fake::model::{extend_hash, prefix_hash};
@@ -71,49 +71,49 @@
     extend_hash(0, inputs)
 }
 
-/// Hash of a prefix of hash `prefix` followed by `inputs`.
+/// Hashes a prefix with the hash `prefix` followed by `inputs`.
 pub fn extend_hash(prefix: u64, inputs: &[u64]) -> u64 {
     inputs.iter().fold(prefix, |hash, input| mix([hash, *input]))
 }
 
-/// A range of layers of one model with their weights.
+/// A range of layers of one model, with weights.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Range {
     /// Name of the model.
     pub model: String,
-    /// Version of its weights.
+    /// Version of the weights.
     pub version: u32,
-    /// Layers of the whole model.
+    /// Number of layers of the whole model.
     pub layers: u32,
-    /// First layer held.
+    /// First layer of the range.
     pub first: u32,
-    /// Seed of each layer held, in order.
+    /// Seed of each layer of the range, in order.
     pub seeds: Vec<u64>,
 }
 
 impl Range {
-    /// The range from `first` to `last`, inclusive, with the seeds of [`seed`].
+    /// Creates the range from `first` to `last`, inclusive, with seeds from [`seed`].
     pub fn new(model: &str, version: u32, layers: u32, first: u32, last: u32) -> Range {
         let seeds = (first..=last).map(|layer| seed(model, version, layer)).collect();
         Range { model: model.to_string(), version, layers, first, seeds }
     }
 
-    /// Last layer held, inclusive.
+    /// Returns the last layer of the range, inclusive.
     pub fn last(&self) -> u32 {
         (self.first + self.seeds.len() as u32).saturating_sub(1)
     }
 
-    /// True when the model's output leaves this range.
+    /// Returns true if the range holds the model's last layer.
     pub fn is_last(&self) -> bool {
         self.last() + 1 == self.layers
     }
 
-    /// State of a session before its first position, one word a layer.
+    /// Returns the state of a session before its first position, one word per layer.
     pub fn initial_state(&self) -> Vec<u64> {
         vec![0; self.seeds.len()]
     }
 
-    /// Runs each layer once on one position. The first range takes a token id.
+    /// Runs each layer once on one position. The first range expects a token id as its input.
     pub fn run(&self, state: &mut [u64], position: u32, input: u64) -> u64 {
         let x = match self.first {
             0 => embed(input),
@@ -128,7 +128,7 @@
     }
 }
 
-/// The answer to `prompt`, computed straight through all layers in one place.
+/// Computes the answer to `prompt` through all layers in one process.
 ///
 /// ```
 /// let answer = fake::model::expected_answer("m", 1, 12, "draft a label", 5);
--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -1,4 +1,4 @@
-//! What every stand-in shares: an HTTP/1.1 server that hands whole calls to one function.
+//! The HTTP/1.1 server of all stand-ins; it passes whole requests to one handler function.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,47 +12,47 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::JoinHandle;
 
-/// Longest body a stand-in reads, in bytes; a longer one is answered with 413.
+/// Maximum size of a request body, in bytes; a longer one is answered with 413.
 pub const BODY_LIMIT: usize = 16 << 20;
 
-/// Connections the kernel holds before the server has taken them.
+/// Length of the kernel's queue of connections that the server has not accepted yet.
 const BACKLOG: u32 = 1024;
 
-/// A whole request.
+/// A request with its whole body.
 #[derive(Debug)]
 pub struct Call {
-    /// Method in capitals.
+    /// Method, in upper case.
     pub method: String,
-    /// Path without the query, as sent.
+    /// Path without the query, not decoded.
     pub path: String,
-    /// Query without the question mark; empty when there is none.
+    /// Query without the question mark; empty if there is none.
     pub query: String,
-    /// Header lines.
+    /// Headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// Body.
     pub body: Bytes,
 }
 
 impl Call {
-    /// Segments of the path.
+    /// Returns the segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.path.trim_matches('/').split('/').collect()
     }
 
-    /// Text given for `name` in the query as it was sent, or an empty text.
+    /// Returns the value of `name` in the query, not decoded, or an empty text.
     pub fn query_text<'a>(&'a self, name: &'a str) -> &'a str {
         let value = |pair: &'a str| pair.split_once('=').filter(|p| p.0 == name);
         self.query.split('&').find_map(value).map_or("", |pair| pair.1)
     }
 
-    /// Number given for `name` in the query, or zero.
+    /// Returns the value of `name` in the query as a number, or zero.
     pub fn query_number(&self, name: &str) -> u64 {
         self.query_text(name).parse().unwrap_or(0)
     }
 
-    /// The part of `items` that `from` and `limit` in the query ask for; by default all.
+    /// Returns the items that `from` and `limit` in the query select; by default all.
     ///
-    /// A full book is longer than a client reads at once, so it is read in parts.
+    /// A full list exceeds the body limit of clients, so they read it page by page.
     pub fn page<'a, T: Clone + 'a>(&self, items: impl Iterator<Item = &'a T>) -> Vec<T> {
         let limit = match self.query_number("limit") {
             0 => usize::MAX,
@@ -61,32 +61,32 @@
         items.skip(self.query_number("from") as usize).take(limit).cloned().collect()
     }
 
-    /// Value of a header, or an empty text.
+    /// Returns the value of a header, or an empty text.
     pub fn header(&self, name: &str) -> String {
         self.headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
     }
 
-    /// The body as JSON. A body that does not decode gives the 400 to answer with.
+    /// Decodes the body as JSON; the error is a reply with status 400.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Reply> {
         serde_json::from_slice(&self.body).map_err(|e| Reply::error(400, &e.to_string()))
     }
 }
 
-/// What the caller gets.
+/// The reply to a request.
 #[derive(Debug, PartialEq)]
 pub enum Reply {
     /// A status and a JSON body.
     Json(u16, Vec<u8>),
-    /// A JSON body with the tag of its state.
+    /// Status 200 with an `ETag` and a JSON body.
     Tagged(String, Vec<u8>),
-    /// The caller's tag is that of the state now: 304 without a body.
+    /// Status 304 without a body: the caller's `ETag` is current.
     Unchanged,
-    /// Nothing: the connection is closed.
+    /// No reply: the connection is closed.
     CloseConnection,
 }
 
 impl Reply {
-    /// A JSON answer.
+    /// Creates a JSON reply.
     ///
     /// ```
     /// assert_eq!(fake::serve::Reply::json(200, &1), fake::serve::Reply::Json(200, b"1".to_vec()));
@@ -98,7 +98,7 @@
         }
     }
 
-    /// A JSON answer to a conditional read: 304 when the caller knows this state.
+    /// Creates a JSON reply to a conditional read: 304 if the caller's `If-None-Match` is current.
     pub fn tagged<T: Serialize>(call: &Call, body: &T) -> Reply {
         match serde_json::to_vec(body) {
             Ok(raw) => {
@@ -112,12 +112,12 @@
         }
     }
 
-    /// An answer of 200 with the body `null`.
+    /// Creates a reply with status 200 and the body `null`.
     pub fn ok() -> Reply {
         Reply::Json(200, b"null".to_vec())
     }
 
-    /// A refusal with its reason.
+    /// Creates an error reply with a reason.
     ///
     /// ```
     /// let reply = fake::serve::Reply::error(404, "no session");
@@ -128,27 +128,27 @@
     }
 }
 
-/// Body of an answer that refuses.
+/// Body of an error reply.
 #[derive(Debug, Serialize)]
 struct ErrorBody {
     error: String,
 }
 
-/// A stand-in that is being served; dropping it closes its connections.
+/// A running stand-in; dropping it closes its connections.
 #[derive(Debug)]
 pub struct Server {
-    /// Address it listens on.
+    /// Listening address.
     pub address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Server {
-    /// Address as clients take it.
+    /// Returns the base URL for clients.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// Ends `task` together with the server.
+    /// Aborts `task` when the server is dropped.
     pub fn with_task(mut self, task: JoinHandle<()>) -> Server {
         self.tasks.push(task);
         self
@@ -161,9 +161,9 @@
     }
 }
 
-/// Binds a listener on `address`; port 0 takes a free one. Call it within a tokio runtime.
+/// Binds a listener on `address`; port 0 selects a free port. Requires a tokio runtime.
 ///
-/// The address may be taken again right after a process on it has crashed.
+/// The address can be bound again right after the process that used it crashed.
 pub fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -175,7 +175,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Serves `answer` on `listener` until the returned server is dropped.
+/// Serves requests with `answer` on `listener` until the returned server is dropped.
 pub fn start<F, A>(listener: TcpListener, answer: F) -> std::io::Result<Server>
 where
     F: Fn(Call) -> A + Send + Sync + 'static,
@@ -189,12 +189,13 @@
     Ok(Server { address, tasks: vec![task] })
 }
 
-/// Locks a stand-in's state. A call that was dropped on purpose never holds the lock.
+/// Locks the state of a stand-in. Ignores poisoning: the panic that closes a connection
+/// ([`Reply::CloseConnection`]) never happens under the lock.
 pub fn lock<T>(state: &Arc<Mutex<T>>) -> MutexGuard<'_, T> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Takes one from a counter of faults still to come; false when none is left.
+/// Decrements the number of remaining faults; returns false if none is left.
 pub fn take_one(left: &mut u32) -> bool {
     let some = *left > 0;
     *left = left.saturating_sub(1);
@@ -212,7 +213,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let reply = match read(req).await {
             Some(call) => (self.0)(call).await,
-            None => Reply::error(413, "the body is too long or was cut off"),
+            None => Reply::error(413, "the body is too long or incomplete"),
         };
         match reply {
             Reply::Json(status, body) => write(res, status, body),
@@ -223,8 +224,8 @@
             Reply::Unchanged => {
                 res.status_code(StatusCode::NOT_MODIFIED);
             }
-            // Unwinding ends this connection's task, which closes the connection without a
-            // byte of an answer; the panic hook isn't run, so nothing is printed.
+            // Unwinding ends the task of this connection, which closes the connection without
+            // sending any byte of a reply; the panic hook doesn't run, so nothing is printed.
             Reply::CloseConnection => std::panic::resume_unwind(Box::new("answer dropped")),
         }
     }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,6 +1,6 @@
-//! A plain service that records every write it takes.
+//! A plain service that records every write that it accepts.
 //!
-//! All paths are the callers', but those under `/~fake/`.
+//! Callers may use any path except those under `/~fake/`.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -11,46 +11,46 @@
 
 use crate::serve::{self, Call, Reply, Server};
 
-/// Writes the book holds; later ones are answered 507 and not recorded.
+/// Maximum number of writes in the ledger; later ones are answered with 507 and not recorded.
 pub const MAX_WRITES: usize = 200_000;
 
-/// Bytes of a body that the book keeps.
+/// Maximum number of bytes of a body that the ledger stores.
 pub const MAX_BODY_BYTES: usize = 1024;
 
-/// How long a service waits for the one that holds its book.
+/// Time-out of a call to the service that holds the ledger.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Command line of a plain service.
+/// Command-line options of a plain service.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Milliseconds every answer takes.
+    /// Delay of every answer, in milliseconds.
     #[arg(long, default_value_t = 2)]
     pub delay_ms: u64,
-    /// Service that holds the book, for services that share a database (`http://IP:PORT`).
+    /// Service that holds the ledger (`http://IP:PORT`), for services that share a database.
     #[arg(long)]
     pub ledger: Option<String>,
 }
 
-/// Faults of a plain service; a field that is left out stays as it is.
+/// Faults of a plain service; an omitted field keeps its value.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Writes that are recorded but whose connection is closed without an answer.
+    /// Number of next writes that are recorded but whose connection is closed without an answer.
     pub lose_answers: Option<u32>,
-    /// Writes that are answered 500 and not recorded.
+    /// Number of next writes that fail with 500 and are not recorded.
     pub fail_next: Option<u32>,
-    /// Milliseconds every answer takes.
+    /// Delay of every answer, in milliseconds.
     pub delay_ms: Option<u64>,
-    /// Milliseconds between the record of a write and its answer.
+    /// Delay between the recording of a write and its answer, in milliseconds.
     pub stall_ms: Option<u64>,
-    /// Closes the connection of every call; nothing is recorded.
+    /// Closes the connection of every call without recording anything.
     pub down: Option<bool>,
 }
 
-/// One write as the service took it.
+/// A recorded write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Write {
-    /// Place in the book, from 0.
+    /// Index in the ledger, from 0.
     pub number: u64,
     /// Header `Idempotency-Key`, or empty.
     pub key: String,
@@ -59,11 +59,11 @@
     pub request: String,
     /// Header `X-Workspace`, or empty.
     pub workspace: String,
-    /// Method in capitals.
+    /// Method, in upper case.
     pub method: String,
     /// Path without the query.
     pub path: String,
-    /// xxh3 of the body in hexadecimal.
+    /// xxh3 hash of the body, in hexadecimal.
     pub hash: String,
     /// Start of the body as text, at most [`MAX_BODY_BYTES`] bytes.
     pub body: String,
@@ -72,36 +72,36 @@
 /// Answer to a write.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// Place in the book.
+    /// Index in the ledger.
     pub number: u64,
-    /// Key of the write.
+    /// Idempotency key of the write.
     pub key: String,
 }
 
 /// Answer to a look-up.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Lookup {
-    /// Path that was asked for.
+    /// Requested path.
     pub path: String,
-    /// Its last segment.
+    /// Last segment of the path.
     pub key: String,
-    /// True when a write of that key is in the book.
+    /// True if the ledger has a write with that key.
     pub recorded: bool,
 }
 
-/// How often the writes of one key were recorded.
+/// Number of recorded writes with one key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Runs {
-    /// The key.
+    /// Idempotency key.
     pub key: String,
-    /// Writes of it.
+    /// Number of writes.
     pub runs: u64,
 }
 
-/// Calls that this service has taken, whoever holds the book.
+/// Number of calls to this service itself, whichever service holds the ledger.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallCount {
-    /// Look-ups and writes, also those that failed.
+    /// Look-ups and writes, including failed ones.
     pub calls: u64,
 }
 
@@ -222,7 +222,7 @@
 fn record(state: &Arc<Mutex<State>>, write: Write) -> Result<Reply, Reply> {
     let mut state = serve::lock(state);
     if state.writes.len() >= MAX_WRITES {
-        return Err(Reply::error(507, "the book is full"));
+        return Err(Reply::error(507, "the ledger is full"));
     }
     let number = state.writes.len() as u64;
     let key = write.key.clone();
@@ -245,7 +245,7 @@
     Reply::json(200, &state.runs.iter().map(pair).collect::<serde_json::Map<_, _>>())
 }
 
-/// Ids of the requests whose writes were recorded, in the order of the book.
+/// Returns the ids of the requests whose writes were recorded, in the order of the ledger.
 fn requests(state: &State) -> Reply {
     Reply::json(200, &state.writes.iter().map(|w| w.request.as_str()).collect::<Vec<_>>())
 }
@@ -258,7 +258,8 @@
     state.down = fault.down.unwrap_or(state.down);
 }
 
-/// A book that gave no answer may hold the write: the caller gets no answer either.
+/// Maps a failed call to the ledger to a reply. Without an answer the ledger may have recorded
+/// the write, so the caller gets no answer either.
 fn ledger_error(e: rest::Error) -> Reply {
     match e.status() {
         Some(status) => Reply::error(status, &e.to_string()),
--- a/crates/fake/src/vms.rs
+++ b/crates/fake/src/vms.rs
@@ -1,4 +1,4 @@
-//! The VM list, seen with a lag.
+//! The VM list, which shows changes with a delay.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -10,35 +10,35 @@
 
 use crate::serve::{self, Call, Reply, Server};
 
-/// Changes that may wait for the lag; beyond it the oldest is shown early.
+/// Maximum number of changes that are not visible yet; beyond it the oldest becomes visible early.
 const MAX_PENDING_CHANGES: usize = 100_000;
 
-/// Command line of the VM list.
+/// Command-line options of the VM list.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Milliseconds after which a change is seen.
+    /// Delay after which a change becomes visible, in milliseconds.
     #[arg(long, default_value_t = 0)]
     pub lag_ms: u64,
 }
 
-/// Faults of the VM list; a field that is left out stays as it is.
+/// Faults of the VM list; an omitted field keeps its value.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Milliseconds after which a change is seen.
+    /// Delay after which a change becomes visible, in milliseconds.
     pub lag_ms: Option<u64>,
-    /// Answers 503 to every read.
+    /// Answers every read with 503.
     pub outage: Option<bool>,
-    /// Part of the VMs that the list lacks, from the first by name, 0 to 1.
+    /// Share of the VMs that the list omits, in order of name, 0 to 1.
     pub hide: Option<f64>,
 }
 
-/// What the VM list holds.
+/// Contents and counters of the VM list.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// VMs as they are, without the lag.
+    /// VMs as last set, without the delay.
     pub vms: Vec<Entry>,
-    /// Reads answered.
+    /// Number of reads answered.
     pub reads: u64,
 }
 
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store: layers at a limited rate.
+//! The weight store, which serves layers at a limited rate.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -11,33 +11,33 @@
 use crate::model;
 use crate::serve::{self, Call, Reply, Server};
 
-/// How much of a second's rate may be taken at once.
+/// Burst size: fetches that the rate allows in this time are accepted at once.
 const BURST: Duration = Duration::from_millis(250);
 
-/// Command line of the weight store.
+/// Command-line options of the weight store.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Layers a second.
+    /// Maximum number of layers served a second.
     #[arg(long, default_value_t = 50)]
     pub rate: u32,
 }
 
-/// Faults of the weight store; a field that is left out stays as it is.
+/// Faults of the weight store; an omitted field keeps its value.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// Answers 503 to every fetch.
+    /// Answers every fetch with 503.
     pub outage: Option<bool>,
-    /// Layers a second.
+    /// Maximum number of layers served a second.
     pub rate: Option<u32>,
 }
 
-/// What the weight store did.
+/// Counters of the weight store.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Stats {
-    /// Layers handed out.
+    /// Number of layers served.
     pub fetched: u64,
-    /// Fetches refused for the rate.
+    /// Number of fetches refused because of the rate limit.
     pub refused: u64,
 }
 
