--- a/crates/cloud/src/log.rs
+++ b/crates/cloud/src/log.rs
@@ -1,38 +1,38 @@
 //! The append-only log service: named streams of text records with offsets.
 //!
-//! Records are kept for a limited time. An answer can be lost after its append
-//! took effect, so a writer settles a lost answer by reading the stream.
+//! Records are retained for a limited time. The answer to an append can be lost after the
+//! append took effect, so a writer resolves a lost answer by reading the stream.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Place of a record in its stream; grows by one for each record.
+/// Position of a record in its stream; increases by one with each record.
 pub type Offset = u64;
 
-/// One record of a stream.
+/// A record of a stream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its place.
+    /// Its offset.
     pub offset: Offset,
-    /// When the service took it, in milliseconds since the Unix epoch, by the service's clock.
+    /// Time of the append by the service's clock, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// The text that was appended.
+    /// Appended text.
     pub data: String,
 }
 
 /// Part of a stream.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// Records in order; their offsets follow each other without gaps.
+    /// Records in order; their offsets are consecutive.
     pub records: Vec<Record>,
-    /// Oldest offset still kept. Larger than the offset asked for when records have expired.
+    /// Oldest offset retained. Greater than the requested offset if records have expired.
     pub first: Offset,
-    /// Offset the next appended record will get.
+    /// Offset of the next record to be appended.
     pub next: Offset,
 }
 
-/// Where an append landed.
+/// Answer to an append.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Appended {
     /// Offset of the record.
@@ -53,7 +53,7 @@
 }
 
 impl Client {
-    /// A client for the service at `base`, giving up on each call after `timeout`.
+    /// Creates a client for the service at `base` whose calls time out after `timeout`.
     ///
     /// ```
     /// cloud::log::Client::new("http://127.0.0.1:9000", std::time::Duration::from_secs(2));
@@ -62,15 +62,15 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// Appends one record. 429 when over the service's rate, 503 in an outage.
-    /// After [`rest::Error::Lost`] the record may or may not stand in the stream.
+    /// Appends a record. The service answers 429 over its rate limit and 503 in an outage.
+    /// After [`rest::Error::Lost`] the record may or may not be in the stream.
     pub async fn append(&self, stream: &str, data: &str) -> Result<Offset, rest::Error> {
         let body = Append { data: data.to_string() };
         let done: Appended = self.http.post(&format!("/v1/streams/{stream}"), &body).await?;
         Ok(done.offset)
     }
 
-    /// Records from `from` on, at most a page. Waits up to `wait` for the first one to come.
+    /// Returns up to a page of records from `from` on. Waits up to `wait` if there is none.
     pub async fn read(
         &self,
         stream: &str,
--- a/crates/cloud/src/vm.rs
+++ b/crates/cloud/src/vm.rs
@@ -1,10 +1,10 @@
-//! The platform's VM list. It lags: a VM may be listed as live when it is gone.
+//! The platform's VM list. It is delayed: a VM may be listed as live after it has gone.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// HTTP status of a list that has not changed.
+/// HTTP status of an unchanged list.
 const NOT_MODIFIED: u16 = 304;
 
 /// Name of a VM, usable as a DNS label.
@@ -13,27 +13,27 @@
 /// Name of a data centre.
 pub type DataCentre = String;
 
-/// Which process of the system runs on the VM.
+/// The process of the system that runs on a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// An entry VM.
+    /// A router.
     Router,
-    /// A backend server's VM.
+    /// The agent of a backend server.
     Agent,
 }
 
-/// What the platform says of the VM.
+/// State of a VM, as the platform reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// In service.
     Live,
-    /// Going away: no new work.
+    /// About to be removed; must get no new work.
     Leaving,
 }
 
-/// One VM of the list.
+/// An entry of the VM list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// Name of the VM.
@@ -42,18 +42,18 @@
     pub role: Role,
     /// Its data centre.
     pub data_centre: DataCentre,
-    /// IP and UDP port of the process of the system on it.
+    /// IP address and UDP port of the system's process on the VM.
     pub address: String,
     /// Live or leaving.
     pub state: State,
 }
 
-/// The list with the tag by which the service knows this state of it.
+/// The VM list with the tag of this version of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct List {
-    /// All VMs, in order of name.
+    /// All VMs, sorted by name.
     pub entries: Vec<Entry>,
-    /// The service's `ETag`; empty when it gives none.
+    /// `ETag` of the answer; empty if there is none.
     pub tag: String,
 }
 
@@ -64,7 +64,7 @@
 }
 
 impl Client {
-    /// A client for the list at `base`, giving up on each call after `timeout`.
+    /// Creates a client for the list at `base` whose calls time out after `timeout`.
     ///
     /// ```
     /// cloud::vm::Client::new("http://127.0.0.1:9001", std::time::Duration::from_secs(2));
@@ -73,13 +73,13 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// All VMs listed, in order of name.
+    /// Returns all listed VMs, sorted by name.
     pub async fn list(&self) -> Result<Vec<Entry>, rest::Error> {
         self.http.get("/v1/vms").await
     }
 
-    /// The list when its tag is no longer `tag`, else `None`. A service without
-    /// tags sends the whole list each time.
+    /// Returns the list if its tag differs from `tag`, otherwise `None`. A service without
+    /// tags returns the whole list each time.
     pub async fn list_if_changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
         let known = [("if-none-match".to_string(), tag.to_string())];
         let headers = if tag.is_empty() { &[][..] } else { &known[..] };
--- a/crates/cloud/src/weight.rs
+++ b/crates/cloud/src/weight.rs
@@ -1,19 +1,19 @@
-//! The weight store: layers of a model, handed out at a limited rate.
+//! The weight store, which serves the layers of models at a limited rate.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// One layer's weights.
+/// Weights of a layer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Layer {
-    /// Model they belong to.
+    /// Name of the model.
     pub model: String,
     /// Version of the weights.
     pub version: u32,
     /// Number of the layer.
     pub layer: u32,
-    /// Stand-in for the content: mixed into what the layer computes.
+    /// Stands for the weights: an input of what the layer computes.
     pub seed: u64,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Client {
-    /// A client for the store at `base`, giving up on each call after `timeout`.
+    /// Creates a client for the store at `base` whose calls time out after `timeout`.
     ///
     /// ```
     /// cloud::weight::Client::new("http://127.0.0.1:9002", std::time::Duration::from_secs(2));
@@ -33,7 +33,7 @@
         Client { http: rest::Client::new(base, timeout) }
     }
 
-    /// Weights of one layer. 429 when over the store's rate.
+    /// Fetches the weights of a layer. The store answers 429 over its rate limit.
     pub async fn fetch(&self, model: &str, version: u32, layer: u32) -> Result<Layer, rest::Error> {
         self.http.get(&format!("/v1/weights/{model}/{version}/{layer}")).await
     }
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -1,4 +1,4 @@
-//! An engine keeps the order of positions, batches, and can be made to fail.
+//! Order of positions, batching, fencing, the prefix cache and injected faults of an engine.
 
 use std::process::{Command, Stdio};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Options as the command line gives them.
+/// Parses options from a command line.
 fn options(line: &str) -> Options {
     let command = Options::augment_args(clap::Command::new("engine").no_binary_name(true));
     let matches = command.get_matches_from(line.split_whitespace());
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn three_engines_give_the_straight_answer_and_count_each_layer_once() {
+async fn three_engines_give_the_expected_answer_and_run_each_layer_once() {
     let line = |first, last| format!("--model m --layers 12 --first {first} --last {last}");
     let stages = [start(&line(0, 3)), start(&line(4, 7)), start(&line(8, 11))];
     let mut inputs = stages[0].1.tokenize("a batch of wristbands").await.unwrap().tokens;
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn a_batch_answers_all_its_steps() {
     let (server, client) = start("--model m --batch 4 --slots 20 --load-lag-ms 0");
-    // Held back until all wait, so that the number of batches doesn't hang on timing.
+    // The engine hangs until all steps are pending, so that the number of batches doesn't depend on timing.
     control(&server, Fault { hang: Some(true), ..Fault::default() }).await;
     let mut steps = tokio::task::JoinSet::new();
     for i in 0..20 {
@@ -102,8 +102,8 @@
     status: Option<u16>,
 }
 
-// A late or repeated message asks for a position out of turn. Were it run, the state of
-// the session would take a token twice and the caller would get wrong words.
+// A late or repeated message requests a position out of order. If the engine ran it, it would
+// apply a token to the session's state twice and the caller would get wrong tokens.
 #[rstest]
 #[case::next(Case { session: "a", position: 3, status: None })]
 #[case::repeated(Case { session: "a", position: 0, status: Some(409) })]
@@ -120,10 +120,10 @@
     assert_eq!(outcome.err().and_then(|e| e.status()), case.status);
 }
 
-// A request is cancelled while its step waits in an engine that hangs. The step's caller
-// must hear of it at once, or it would hold its own place until a timeout.
+// A request is cancelled while its step is pending in an engine that hangs. The step must be
+// answered at once; otherwise its caller would keep its slot until a time-out.
 #[tokio::test]
-async fn cancelling_answers_a_waiting_step() {
+async fn cancelling_answers_a_pending_step() {
     let (server, client) = start("--model m --load-lag-ms 0");
     control(&server, Fault { hang: Some(true), ..Fault::default() }).await;
     client.open(&session("a")).await.unwrap();
@@ -140,10 +140,10 @@
     assert_eq!(client.cancel("a").await.unwrap_err().status(), Some(404));
 }
 
-// An engine is replaced in the middle of a request and its state moved. Were a position
-// lost or doubled on the way, the rest of the answer would differ.
+// An engine is replaced during a request and the session state is moved. If the move lost or
+// repeated a position, the rest of the answer would differ.
 #[tokio::test]
-async fn an_exported_state_goes_on_elsewhere() {
+async fn an_exported_state_continues_on_another_engine() {
     let (_old, from) = start("--model m");
     let (_new, to) = start("--model m");
     let (first, second) =
@@ -163,8 +163,8 @@
     status: Option<u16>,
 }
 
-// An agent that was paused gives its old order after a newer one. An engine that checks
-// the number refuses it; one that doesn't loads the wrong model, and callers notice it.
+// An agent that was paused sends its old order after a newer one. An engine that checks the
+// fencing number refuses it; one that doesn't loads the wrong model and gives wrong answers.
 #[rstest]
 #[case::checked(Fence { checks: true, status: Some(409) })]
 #[case::ignored(Fence { checks: false, status: None })]
@@ -206,10 +206,10 @@
     assert_eq!(history(&server).await.cached, 32);
 }
 
-// Cache events have gaps. A router that took them for complete would send work to an
-// engine for a prefix that it has long evicted.
+// Cache events have gaps. A router that assumes that they are complete would send work to an
+// engine for a prefix that the engine has evicted.
 #[tokio::test]
-async fn cache_events_are_true_but_have_gaps() {
+async fn cache_events_are_correct_but_have_gaps() {
     let (_server, client) = start("--model m --load-lag-ms 0 --prefix-cache 4 --slots 100");
     let prompt = |i: u64| [i; 16];
     for i in 0..50 {
@@ -217,7 +217,7 @@
         client.open(&session(&id)).await.unwrap();
         client.step(&id, &Step { position: 0, inputs: prompt(i).to_vec() }).await.unwrap();
     }
-    // Four enter; after that each that enters is preceded by the oldest that leaves.
+    // Four prefixes are inserted; after that the oldest is evicted before each insertion.
     let mut all: Vec<(u64, bool)> =
         (0..4).map(|i| (model::prefix_hash(&prompt(i)), true)).collect();
     for i in 4..50 {
@@ -232,8 +232,8 @@
     assert!(!later.is_empty() && later.iter().all(|e| e.number >= 50));
 }
 
-// A single request makes every engine crash that runs it: the process is gone at once
-// and nobody gets an answer. The exit code tells the crash from an orderly stop.
+// A request crashes every engine that runs it: the process exits at once without answering
+// any request. The exit code distinguishes the crash from an orderly stop.
 #[tokio::test]
 async fn a_poison_request_ends_the_process() {
     let mut process = Command::new(env!("CARGO_BIN_EXE_hyssop-fake"))
--- a/crates/fake/tests/link.rs
+++ b/crates/fake/tests/link.rs
@@ -1,4 +1,4 @@
-//! The relay passes datagrams and answers, and does to them what the faults say.
+//! The relay forwards datagrams and answers, and applies the injected faults to them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use rstest::rstest;
 use tokio::net::UdpSocket;
 
-/// Two processes, each reached by the other through a relay of its own.
+/// Two processes, each of which reaches the other through a separate relay.
 struct World {
     _server: Server,
     http: rest::Client,
@@ -40,13 +40,13 @@
         let () = self.http.post("/~fake/faults", &fault).await.unwrap();
     }
 
-    /// Books of the relay to the far process.
+    /// Returns the counters of the relay to the far process.
     async fn stats(&self) -> RelayStats {
         let relays: Vec<RelayStats> = self.http.get("/~fake/books").await.unwrap();
         relays.into_iter().find(|b| b.link.listen == self.to_far).unwrap()
     }
 
-    /// Waits until the relay to the far process has seen `count` datagrams.
+    /// Waits until the relay to the far process has received `count` datagrams.
     async fn received(&self, count: u64) -> RelayStats {
         loop {
             match self.stats().await {
@@ -81,8 +81,8 @@
     cut: bool,
 }
 
-// A link between two VMs is cut. Nothing may pass until it heals, also no answer on a
-// path that was open before; a fault of another pair must not touch this one.
+// A link between two VMs is cut. No datagram may pass until it is restored, including answers on
+// a path that was open before; a fault of another pair of VMs must not affect this one.
 #[rstest]
 #[case::all(Case { from: "*", to: "*", mirror: false, cut: true })]
 #[case::pair(Case { from: "127.0.1.1", to: "127.1.1.2", mirror: false, cut: true })]
@@ -108,10 +108,10 @@
     assert_eq!(first, if case.cut { b"after".to_vec() } else { b"during".to_vec() });
 }
 
-// A link turns slow and is then cut. What was under way is lost with the link; delivered
-// later, it would reach a process that has been told the other side is gone.
+// A link becomes slow and is then cut. Datagrams in flight must be dropped: delivered later,
+// they would reach a process to which the other side was reported as gone.
 #[tokio::test]
-async fn held_datagrams_keep_their_order_and_a_cut_drops_them() {
+async fn delayed_datagrams_keep_their_order_and_a_cut_drops_them() {
     let w = world().await;
     let slow = |delay_ms, cut| Fault {
         from: "*".to_string(),
@@ -138,9 +138,9 @@
     assert_eq!((count.cut, count.delivered), (1, 100));
 }
 
-// A poor link drops some datagrams and doubles others. The books account for each one.
+// A lossy link drops some datagrams and duplicates others. The counters include each one.
 #[tokio::test]
-async fn loss_and_doubles_are_accounted_for() {
+async fn lost_and_duplicated_datagrams_are_counted() {
     let w = world().await;
     w.set(Fault {
         from: "127.0.1.1".to_string(),
--- a/crates/fake/tests/model.rs
+++ b/crates/fake/tests/model.rs
@@ -1,4 +1,4 @@
-//! The model proves how an answer was computed.
+//! An answer of the model proves through which layers it was computed.
 
 use fake::model::{Range, expected_answer, sample, tokenize};
 use rstest::rstest;
@@ -31,8 +31,8 @@
     same: bool,
 }
 
-// A router sends a request through the wrong chain: a range is left out, runs twice or
-// runs before the one it should follow. The caller would get fluent but wrong words.
+// A router sends a request through the wrong chain: a range is missing, runs twice or runs
+// before its predecessor. The caller would get a complete but wrong answer.
 #[rstest]
 #[case::whole(Case { ranges: &[(0, 11)], same: true })]
 #[case::three(Case { ranges: &[(0, 3), (4, 7), (8, 11)], same: true })]
@@ -40,7 +40,7 @@
 #[case::skipped(Case { ranges: &[(0, 3), (5, 11)], same: false })]
 #[case::doubled(Case { ranges: &[(0, 3), (4, 4), (4, 11)], same: false })]
 #[case::swapped(Case { ranges: &[(0, 3), (8, 11), (4, 7)], same: false })]
-fn the_answer_shows_the_chain(#[case] case: Case) {
+fn the_answer_depends_on_the_chain(#[case] case: Case) {
     let range = |r: &(u32, u32)| Range::new("chat", 3, LAYERS, r.0, r.1);
     let ranges: Vec<Range> = case.ranges.iter().map(range).collect();
     let answer = expected_answer("chat", 3, LAYERS, PROMPT, 8);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn answers_end_by_themselves_at_various_lengths() {
+fn answers_end_without_a_limit_at_various_lengths() {
     let lengths =
         (0..200).map(|i| expected_answer("chat", 1, 4, &format!("prompt {i}"), 2000).len());
     let mut lengths: Vec<usize> = lengths.collect();
--- a/crates/fake/tests/platform.rs
+++ b/crates/fake/tests/platform.rs
@@ -50,10 +50,10 @@
     assert_eq!(read.await.unwrap().unwrap().records[0].data, "x");
 }
 
-// The log takes an append and its answer is lost. A writer that took this for a failure
-// and appended again would have its change in the stream twice.
+// The log accepts an append and the answer is lost. A writer that treats this as a failure and
+// appends again would have its change in the stream twice.
 #[tokio::test]
-async fn a_lost_answer_has_taken_effect() {
+async fn an_append_whose_answer_is_lost_takes_effect() {
     let (server, client) = start_log(100);
     control(&server, log::Fault { lose_answers: Some(1), ..log::Fault::default() }).await;
     let lost = client.append("a", "x").await.unwrap_err();
@@ -63,20 +63,20 @@
     assert_eq!(client.append("a", "y").await.unwrap(), 1);
 }
 
-// The log refuses what is over its rate or comes during an outage; such a record must not
-// stand in the stream, since its writer has been told so.
+// The log refuses appends over its rate and during an outage. A refused record must not be in
+// the stream, because the refusal informs its writer that it was not appended.
 #[tokio::test]
 async fn a_refused_append_has_no_effect() {
     let (server, client) = start_log(8);
-    let mut taken = 0;
+    let mut accepted = 0;
     let refused = loop {
         match client.append("a", "x").await {
-            Ok(_) => taken += 1,
+            Ok(_) => accepted += 1,
             Err(e) => break e,
         }
     };
     assert_eq!(refused.status(), Some(429));
-    assert_eq!(client.read("a", 0, Duration::ZERO).await.unwrap().next, taken);
+    assert_eq!(client.read("a", 0, Duration::ZERO).await.unwrap().next, accepted);
     let fault = log::Fault { outage: Some(true), ..log::Fault::default() };
     control(&server, fault).await;
     assert_eq!(client.append("a", "x").await.unwrap_err().status(), Some(503));
@@ -90,11 +90,11 @@
     };
     control(&server, fault).await;
     assert_eq!(client.append("a", "x").await.unwrap_err().status(), Some(503));
-    assert_eq!(client.append("a", "x").await.unwrap(), taken);
+    assert_eq!(client.append("a", "x").await.unwrap(), accepted);
 }
 
 #[tokio::test]
-async fn the_vm_list_shows_changes_after_its_lag() {
+async fn the_vm_list_shows_changes_after_a_delay() {
     let server = vms::start(listener(), vms::Options { lag_ms: 3_600_000 }).unwrap();
     let http = rest::Client::new(&server.url(), TIMEOUT);
     let client = cloud::vm::Client::new(&server.url(), TIMEOUT);
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn the_weight_store_hands_out_the_models_seeds_at_a_rate() {
+async fn the_weight_store_serves_the_models_seeds_at_a_limited_rate() {
     let server = weights::start(listener(), weights::Options { rate: 8 }).unwrap();
     let client = cloud::weight::Client::new(&server.url(), TIMEOUT);
     let layer = client.fetch("m", 2, 5).await.unwrap();
--- a/crates/fake/tests/service.rs
+++ b/crates/fake/tests/service.rs
@@ -1,4 +1,4 @@
-//! The plain service records each write and can lose its answers.
+//! The plain service records each write and can drop its answers.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -30,8 +30,8 @@
     recorded: bool,
 }
 
-// The answer to an order is lost, or the order fails, or the service is down. Whether the
-// order stands differs, and a caller that guessed wrong would print the bands twice.
+// The answer to an order is lost, the order fails, or the service is down. Whether
+// the order is recorded differs; a caller that assumes the wrong case would print the bands twice.
 #[rstest]
 #[case::fine(Case { fault: Fault::default(), status: Some(201), recorded: true })]
 #[case::lost(Case {
@@ -50,7 +50,7 @@
     recorded: false,
 })]
 #[tokio::test]
-async fn the_book_tells_whether_a_write_stands(#[case] case: Case) {
+async fn the_ledger_shows_whether_a_write_is_recorded(#[case] case: Case) {
     let (_server, client) = start(None);
     let () = client.post("/~fake/control", &case.fault).await.unwrap();
     assert_eq!(order(&client, "k1").await, case.status);
@@ -58,12 +58,12 @@
     let () = client.post("/~fake/control", &up).await.unwrap();
     let found: Lookup = client.get("/orders/k1").await.unwrap();
     assert_eq!((found.key.as_str(), found.recorded), ("k1", case.recorded));
-    let books: Vec<Write> = client.get("/~fake/books").await.unwrap();
-    assert_eq!(books.len(), usize::from(case.recorded));
+    let writes: Vec<Write> = client.get("/~fake/books").await.unwrap();
+    assert_eq!(writes.len(), usize::from(case.recorded));
 }
 
 #[tokio::test]
-async fn services_that_share_a_book_count_together() {
+async fn services_that_share_a_ledger_count_together() {
     let (first, client) = start(None);
     let (_second, other) = start(Some(first.url()));
     assert_eq!(order(&client, "k1").await, Some(201));
@@ -73,8 +73,8 @@
     assert_eq!((runs["k1"], runs["k2"]), (2, 1));
     let found: Lookup = other.get("/orders/k2").await.unwrap();
     assert!(found.recorded);
-    let books: Vec<Write> = client.get("/~fake/books").await.unwrap();
-    let numbers: Vec<u64> = books.iter().map(|w| w.number).collect();
+    let writes: Vec<Write> = client.get("/~fake/books").await.unwrap();
+    let numbers: Vec<u64> = writes.iter().map(|w| w.number).collect();
     assert_eq!(numbers, [0, 1, 2]);
-    assert!(books.iter().all(|w| w.workspace == "w" && w.body == "{}" && w.path == "/orders"));
+    assert!(writes.iter().all(|w| w.workspace == "w" && w.body == "{}" && w.path == "/orders"));
 }
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -1,8 +1,8 @@
-//! JSON over HTTP/1.1 towards the platform and the backend servers.
+//! HTTP/1.1 client with JSON bodies for calls to the platform and the backend servers.
 //!
-//! One client is shared by a process; it keeps idle connections. Every failure
-//! says whether the peer may have seen the request, since only a request that
-//! was never sent can be called not run.
+//! A [`Client`] and its clones share a pool of idle connections. Every error shows whether the
+//! peer may have received the request, since only a request that was never sent can be
+//! reported as not run.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use hyper_util::rt::TokioExecutor;
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Longest answer body read, in bytes. A longer one is an error.
+/// Maximum size of an answer's body, in bytes. A longer one is an error.
 pub const BODY_LIMIT: usize = 16 << 20;
 
 static SENT: AtomicU64 = AtomicU64::new(0);
 static RECEIVED: AtomicU64 = AtomicU64::new(0);
 
-/// Bytes that all clients of this process have sent and received: bodies and
-/// header lines, without what TCP and IP add.
+/// Returns the bytes that all clients of this process have sent and received: bodies and
+/// headers, without the overhead of TCP and IP.
 ///
 /// ```
 /// assert_eq!(rest::traffic(), (0, 0));
@@ -32,53 +32,53 @@
     (SENT.load(Ordering::Relaxed), RECEIVED.load(Ordering::Relaxed))
 }
 
-/// Bytes of a start line and header lines.
+/// Returns the size of a head: the start line of `start` bytes and the headers.
 fn head_size(start: usize, headers: &HeaderMap) -> usize {
     let lines = headers.iter().map(|(name, value)| name.as_str().len() + value.len() + 4);
     start + lines.sum::<usize>() + 4
 }
 
-/// Why a call gave no usable answer.
+/// Reason why a call returned no usable answer.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// No connection could be made: the peer has not seen the request.
+    /// The connection failed: the peer has not received the request.
     #[display("could not connect to {peer}: {reason}")]
     Connect {
-        /// Address that was called.
+        /// Base URL of the peer.
         peer: String,
-        /// The transport's own words.
+        /// Error text of the transport.
         reason: String,
     },
-    /// The connection failed or timed out after the request may have been sent.
+    /// The connection failed or the call timed out after the request may have been sent.
     #[display("no answer from {peer}: {reason}")]
     Lost {
-        /// Address that was called.
+        /// Base URL of the peer.
         peer: String,
-        /// The transport's own words, or the timeout.
+        /// Error text of the transport, or the time-out.
         reason: String,
     },
     /// The peer answered with a status other than 2xx.
     #[display("{peer} answered {status}: {body}")]
     Status {
-        /// Address that was called.
+        /// Base URL of the peer.
         peer: String,
         /// HTTP status.
         status: u16,
         /// Start of the body.
         body: String,
     },
-    /// The body did not decode.
+    /// The body could not be decoded.
     #[display("answer of {peer} does not decode: {reason}")]
     Decode {
-        /// Address that was called.
+        /// Base URL of the peer.
         peer: String,
-        /// The decoder's own words.
+        /// Error text of the decoder.
         reason: String,
     },
 }
 
 impl Error {
-    /// True when the peer cannot have acted on the request.
+    /// Returns true if the peer cannot have received the request.
     ///
     /// ```
     /// let e = rest::Error::Connect { peer: "127.0.0.1:1".into(), reason: "refused".into() };
@@ -88,7 +88,7 @@
         matches!(self, Error::Connect { .. })
     }
 
-    /// The HTTP status, when there was an answer.
+    /// Returns the HTTP status if the peer answered with an error status.
     ///
     /// ```
     /// let e = rest::Error::Connect { peer: "127.0.0.1:1".into(), reason: "refused".into() };
@@ -102,14 +102,14 @@
     }
 }
 
-/// A whole answer, for callers that pass it on unread.
+/// A whole answer, for callers that forward it without decoding it.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Header lines in order; values that are not UTF-8 are left out.
+    /// Headers in order; values with characters other than visible ASCII are omitted.
     pub headers: Vec<(String, String)>,
-    /// The body, at most [`BODY_LIMIT`] bytes.
+    /// Body, at most [`BODY_LIMIT`] bytes.
     pub body: Bytes,
 }
 
@@ -122,7 +122,7 @@
 }
 
 impl Client {
-    /// A client for `base` (`http://127.0.0.1:9000`), giving up on each call after `timeout`.
+    /// Creates a client for `base` (`http://127.0.0.1:9000`) whose calls time out after `timeout`.
     ///
     /// ```
     /// let rdr = rest::Client::new("http://127.0.0.1:9000", std::time::Duration::from_secs(2));
@@ -134,24 +134,24 @@
         connector.set_connect_timeout(Some(Duration::from_millis(500).min(timeout)));
         let pool = Pool::builder(TokioExecutor::new())
             .pool_idle_timeout(Duration::from_secs(20))
-            // A transparent retry would run a write twice when the pooled
-            // connection dies after the peer has read the request.
+            // A transparent retry would run a write twice if the pooled connection
+            // breaks after the peer has read the request.
             .retry_canceled_requests(false)
             .build(connector);
         Client { base: base.trim_end_matches('/').to_string(), pool, timeout }
     }
 
-    /// The same peer and pool with another timeout.
+    /// Returns a client for the same peer and connection pool with another time-out.
     pub fn with_timeout(&self, timeout: Duration) -> Client {
         Client { timeout, ..self.clone() }
     }
 
-    /// Address this client calls.
+    /// Returns the base URL of the peer.
     pub fn base(&self) -> &str {
         &self.base
     }
 
-    /// Sends any request and returns the whole answer, whatever its status.
+    /// Sends a request and returns the whole answer, whatever its status.
     pub async fn send(
         &self,
         method: &str,
@@ -166,12 +166,12 @@
         }
     }
 
-    /// GET, decoded from JSON.
+    /// Sends a GET and decodes the JSON answer.
     pub async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, Error> {
         self.json("GET", path, &()).await
     }
 
-    /// POST of a JSON body, decoded from JSON.
+    /// Sends a POST with a JSON body and decodes the JSON answer.
     pub async fn post<B: Serialize, T: DeserializeOwned>(
         &self,
         path: &str,
@@ -180,7 +180,8 @@
         self.json("POST", path, body).await
     }
 
-    /// Any method with a JSON body; an empty answer decodes as `null`.
+    /// Sends a request with a JSON body (none for GET and DELETE) and decodes the JSON answer; an
+    /// empty answer decodes as `null`.
     pub async fn json<B: Serialize, T: DeserializeOwned>(
         &self,
         method: &str,
@@ -196,7 +197,7 @@
         self.decode_answer(&answer)
     }
 
-    /// The JSON of an answer with a 2xx status; an empty body decodes as `null`.
+    /// Decodes the JSON of an answer with a 2xx status; an empty body decodes as `null`.
     pub fn decode_answer<T: DeserializeOwned>(&self, answer: &Answer) -> Result<T, Error> {
         if !StatusCode::from_u16(answer.status).is_ok_and(|s| s.is_success()) {
             let body = String::from_utf8_lossy(&answer.body).chars().take(200).collect();
