--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -44,7 +44,7 @@
     /// The connection failed: the peer has not received the request.
     #[display("could not connect to {peer}: {reason}")]
     Connect {
-        /// Base URL of the peer.
+        /// URL of the peer.
         peer: String,
         /// Error text of the transport.
         reason: String,
@@ -52,7 +52,7 @@
     /// The connection failed or the call timed out after the request may have been sent.
     #[display("no answer from {peer}: {reason}")]
     Lost {
-        /// Base URL of the peer.
+        /// URL of the peer.
         peer: String,
         /// Error text of the transport, or the time-out.
         reason: String,
@@ -60,7 +60,7 @@
     /// The peer answered with a status other than 2xx.
     #[display("{peer} answered {status}: {body}")]
     Status {
-        /// Base URL of the peer.
+        /// URL of the peer.
         peer: String,
         /// HTTP status.
         status: u16,
@@ -70,7 +70,7 @@
     /// The body could not be decoded.
     #[display("answer of {peer} does not decode: {reason}")]
     Decode {
-        /// Base URL of the peer.
+        /// URL of the peer.
         peer: String,
         /// Error text of the decoder.
         reason: String,
--- a/crates/scenario/src/draft.rs
+++ b/crates/scenario/src/draft.rs
@@ -1,5 +1,5 @@
-//! A draft's caller: comes back after "not run", goes on through another router
-//! after a broken stream, and checks every token against the straight-through answer.
+//! The caller of a draft: retries after "not run", resumes through another router after a
+//! broken stream, and checks every token against the expected answer.
 
 use std::time::{Duration, Instant};
 
@@ -15,23 +15,23 @@
 use crate::settings;
 use crate::sse;
 
-/// A caller gives up on a draft after this, whatever the fleet says.
+/// Time after which a caller starts no further attempt of a draft, whatever the answers are.
 pub const MAX_DURATION: Duration = Duration::from_secs(75);
 
-/// What a caller asks.
+/// A draft to request.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Text.
+    /// Prompt.
     pub prompt: String,
-    /// Tokens at most.
+    /// Maximum number of tokens.
     pub max_tokens: u32,
     /// Workspace, from 1.
     pub workspace: usize,
-    /// Router it starts with; any number.
+    /// Number of the first router; taken modulo the number of routers.
     pub router: usize,
-    /// Times it may come back or go on.
+    /// Maximum number of retries and resumes.
     pub tries: u32,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
 }
 
@@ -47,15 +47,15 @@
     token_id: Option<u64>,
 }
 
-/// What one exchange with a router led to.
+/// What follows an attempt through one router.
 enum Next {
-    /// The stream came to its end.
+    /// The stream is complete.
     Done,
-    /// Nothing runs; come back after this time.
+    /// The draft is not running; retry after this time.
     Retry(Duration, String),
-    /// It may still run; go on after the last token.
+    /// The draft may still run; resume after the last token.
     Resume(Duration, String),
-    /// No use in coming back.
+    /// The draft ended; a retry is useless.
     End(Verdict),
 }
 
@@ -67,7 +67,7 @@
     resume_id: Option<String>,
 }
 
-/// Sends the draft and stays with it to its end.
+/// Sends a draft and follows it to its end.
 pub async fn run(caller: &Caller, job: &Job) -> Outcome {
     let (expected, positions) = model::expected_answer(job.layers, &job.prompt, job.max_tokens);
     let mut out = Outcome::new(Kind::Draft, "");
@@ -116,7 +116,7 @@
         self.out
     }
 
-    /// Tokens the caller has.
+    /// Returns the number of tokens received.
     fn token_count(&self) -> usize {
         self.out.token_times.len()
     }
@@ -140,7 +140,7 @@
         let res = match sent {
             Ok(res) => res,
             Err(e) if resume => return Next::Resume(MIN_PAUSE, e.to_string()),
-            // Without a request id the caller can only send a draft anew; it writes nothing.
+            // Without a request id the caller can only send the draft again; a draft has no side effects.
             Err(e) => return Next::Retry(MIN_PAUSE, e.to_string()),
         };
         if let Some(id) = caller::header(&res, "x-request-id") {
@@ -180,7 +180,7 @@
         self.handle_refusal(Problem::read(status, &body), resume)
     }
 
-    /// What a good client makes of a refusal.
+    /// Decides as a well-behaved client what follows a refusal.
     fn handle_refusal(&mut self, problem: Problem, resume: bool) -> Next {
         let line = problem.line();
         let pause = problem.pause();
@@ -206,8 +206,9 @@
                 self.out.unknowns += 1;
                 Next::End(Verdict::Unknown(line))
             }
-            // The router can't find the running request: nothing the caller has is lost
-            // when no token came yet; else it keeps asking, since the fleet owes the rest.
+            // The router can't find the running request. Without any token the caller starts
+            // again, since it loses nothing; otherwise it keeps resuming, since the fleet has
+            // to deliver the rest.
             _ if resume && self.token_count() == 0 => Next::Retry(MIN_PAUSE, line),
             _ if resume => Next::Resume(pause.unwrap_or(MIN_PAUSE * 4), line),
             _ => match pause {
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Takes one event; an end of the stream or a fault ends the exchange.
+    /// Handles an event; the end of the stream, an error or a wrong token ends the attempt.
     fn handle_event(&mut self, event: &sse::Event) -> Option<Next> {
         if event.event.as_deref() == Some("error") {
             let problem = Problem::read(0, event.data.as_bytes());
--- a/crates/scenario/src/expect.rs
+++ b/crates/scenario/src/expect.rs
@@ -1,27 +1,27 @@
-//! What `expect` states, judged on outcomes, history and figures.
+//! Checks of the statements of `expect` on outcomes, history and figures.
 
 use crate::history::{self, History};
 use crate::outcome::Outcome;
 use crate::script::Expect;
 use crate::table;
 
-/// Room for rounding in `layer-runs`: half of its last printed place.
+/// Tolerance for rounding in `layer-runs`: half of the last printed digit.
 const ROUNDING: f64 = 0.0005;
 
-/// What is known when a statement is judged.
+/// What a statement is checked on.
 #[derive(Debug)]
 pub struct Facts<'a> {
-    /// Requests that ended.
+    /// Outcomes of the requests that ended.
     pub outcomes: &'a [Outcome],
     /// History.
     pub history: &'a History,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
-    /// Crashes of backend servers.
+    /// Number of crashes of backend servers.
     pub crashes: usize,
 }
 
-/// Judges a statement on requests and history; `None` when it is about something else.
+/// Checks a statement on requests and history; `None` if it is about something else.
 pub fn judge(what: &Expect, facts: &Facts<'_>) -> Option<Result<(), String>> {
     let all = table::count(facts.outcomes, |o| !o.judged_by_script);
     let verdict = match what {
--- a/crates/scenario/src/history.rs
+++ b/crates/scenario/src/history.rs
@@ -1,6 +1,7 @@
-//! The stand-ins' own history, and the invariants they must show.
+//! The history that the stand-ins recorded, and the invariants that it must satisfy.
 //!
-//! The checks are plain functions of history and outcomes, so tests can plant violations.
+//! The checks are pure functions of the history and the outcomes of requests, so that tests can
+//! construct violations.
 
 use std::time::Duration;
 
@@ -9,11 +10,11 @@
 
 use crate::outcome::{Kind, Outcome, Verdict};
 
-/// Time to read one book.
+/// Time-out of reading the history of one stand-in.
 pub const READ_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The request that an engine's session belongs to. The agent names a session
-/// `request.attempt.first`; the request id holds dots itself.
+/// Returns the request id of an engine session. The agent names a session
+/// `request.attempt.first`; the request id itself contains dots.
 ///
 /// ```
 /// assert_eq!(scenario::history::request("gpu-0-1.7.x.2.4"), "gpu-0-1.7.x");
@@ -22,42 +23,42 @@
     session.rsplitn(3, '.').nth(2).unwrap_or(session)
 }
 
-/// Book of one engine.
+/// History of an engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Engine {
-    /// Its VM.
+    /// VM of the engine.
     pub vm: String,
-    /// All sessions since it started.
+    /// All sessions since its start.
     pub sessions: Vec<SessionRuns>,
-    /// Orders it took.
+    /// Accepted orders.
     pub orders: Vec<engine::Order>,
-    /// Batches run.
+    /// Number of batches run.
     pub batches: u64,
-    /// Microseconds that they took.
+    /// Total duration of the batches, in microseconds.
     pub busy_us: u64,
 }
 
-/// Runs of each key at the plain services, sorted by key.
+/// Number of runs of each key at the plain services, sorted by key.
 pub type Runs = Vec<(String, u32)>;
 
-/// All history at one moment.
+/// History of all stand-ins at one time.
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    /// Engines, also those that were killed, as read just before.
+    /// Engines, including killed ones, whose history was read just before.
     pub engines: Vec<Engine>,
-    /// Plain services.
+    /// Runs at the plain services.
     pub runs: Runs,
-    /// Ids of the requests whose writes stand in the services' book, sorted.
+    /// Ids of the requests whose writes the services recorded, sorted.
     pub requests: Vec<String>,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 #[display("{invariant}: {what}")]
 pub struct Violation {
-    /// Which.
+    /// Name of the invariant.
     pub invariant: &'static str,
-    /// Where, with the request id or key.
+    /// What violates it, with the request id or key.
     pub what: String,
 }
 
@@ -65,14 +66,14 @@
     Violation { invariant, what }
 }
 
-/// No key ran more than once.
+/// Checks that no key ran more than once.
 pub fn duplicate_runs(runs: &Runs) -> Vec<Violation> {
     let twice = runs.iter().filter(|(_, n)| *n > 1);
     twice.map(|(key, n)| violation("none-doubled", format!("{key} ran {n} times"))).collect()
 }
 
-/// Each session ran each position once and in order. Its first one is 0 unless its
-/// state was imported; an engine refuses a first step at any other position.
+/// Checks that each session ran each position once and in order. Its first position is 0 unless
+/// its state was imported; an engine refuses a first step at any other position.
 pub fn position_order(engines: &[Engine]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for engine in engines {
@@ -92,7 +93,7 @@
     violations
 }
 
-/// The part of a request id that stays the same when a draft is offered to another head.
+/// Returns the part of a request id that stays the same when a draft is offered to another head.
 ///
 /// ```
 /// assert_eq!(scenario::history::stable_part("gpu-0-1.7.x"), "x");
@@ -101,12 +102,12 @@
     request.rsplit('.').next().unwrap_or(request)
 }
 
-/// Nothing told "not run" stands in a book.
+/// Checks that no request refused as "not run" is in the history.
 ///
-/// A draft told so under its last head's name may have run under another's, so it is
-/// looked for by the part of its id that stays the same. Each sending of an order has
-/// an id of its own, which the service notes, so that one sending's run is not taken
-/// for another's of the same key.
+/// The id of a refused draft names its last head, but the draft may have run under another, so
+/// it is searched by the part of the id that stays the same. Each attempt of an order has its
+/// own id, which the service records, so that the run of one attempt is not attributed to
+/// another attempt with the same key.
 pub fn ran_despite_not_run(outcomes: &[Outcome], history: &History) -> Vec<Violation> {
     let sessions = history.engines.iter().flat_map(|e| &e.sessions);
     let ran_steps = sessions.filter(|s| !s.runs.is_empty());
@@ -120,7 +121,7 @@
     let reported = outcomes.iter().flat_map(|o| o.not_run.iter().map(|id| (o.kind, id)));
     reported
         .filter(|(kind, id)| !id.is_empty() && is_recorded(*kind, id))
-        .map(|(_, id)| violation("not-run-true", format!("{id} was told not run and ran")))
+        .map(|(_, id)| violation("not-run-true", format!("{id} was refused as not run and ran")))
         .collect()
 }
 
@@ -128,7 +129,7 @@
     runs.binary_search_by(|(k, _)| k.as_str().cmp(key)).is_ok_and(|i| runs[i].1 > 0)
 }
 
-/// Orders that were answered stand in the services' book.
+/// Checks that the services recorded all orders that were answered.
 pub fn lost_orders(outcomes: &[Outcome], runs: &Runs) -> Vec<Violation> {
     let orders = outcomes.iter().filter(|o| o.kind == Kind::Order && o.is_right());
     let lost = orders.filter(|o| !ran_once(runs, &o.id));
@@ -136,7 +137,7 @@
         .collect()
 }
 
-/// Answers are right, and what was accepted was answered.
+/// Checks that answers are right and that accepted requests were answered.
 pub fn bad_answers(outcomes: &[Outcome]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for out in outcomes.iter().filter(|o| !o.judged_by_script) {
@@ -153,10 +154,10 @@
     violations
 }
 
-/// Runs of a layer for each token: 1 when nothing ran twice.
+/// Returns the number of runs per layer and token: 1 if nothing ran twice.
 ///
-/// `layers` is the number of layers of the model. Drafts that were not answered
-/// right count in the runs and not in the tokens.
+/// `layers` is the number of layers of the model. Drafts that were not answered right count
+/// in the runs but not in the tokens.
 pub fn layer_runs(outcomes: &[Outcome], engines: &[Engine], layers: u32) -> f64 {
     let ran: u64 = engines
         .iter()
@@ -171,28 +172,28 @@
     }
 }
 
-/// Reads an engine's book.
+/// Reads the history of an engine.
 pub async fn engine(base: &str, vm: &str) -> Result<Engine, rest::Error> {
     let read: history::History = rest::Client::new(base, READ_TIMEOUT).get("/~fake/books").await?;
     let history::History { sessions, orders, batches, busy_us, .. } = read;
     Ok(Engine { vm: vm.to_string(), sessions, orders, batches, busy_us })
 }
 
-/// Reads how often each key ran at the services that share the book at `base`.
+/// Reads how often each key ran at the services that share the ledger at `base`.
 pub async fn runs(base: &str) -> Result<Runs, rest::Error> {
     let map: std::collections::BTreeMap<String, u32> =
         rest::Client::new(base, READ_TIMEOUT).get("/~fake/runs").await?;
     Ok(map.into_iter().collect())
 }
 
-/// Reads the ids of the requests whose writes stand in the book at `base`, sorted.
+/// Reads the ids of the requests whose writes are in the ledger at `base`, sorted.
 pub async fn requests(base: &str) -> Result<Vec<String>, rest::Error> {
     let mut ids: Vec<String> = rest::Client::new(base, READ_TIMEOUT).get("/~fake/requests").await?;
     ids.sort_unstable();
     Ok(ids)
 }
 
-/// Reads how many calls the service at `base` has taken.
+/// Reads the number of calls to the service at `base`.
 pub async fn calls_taken(base: &str) -> Result<u64, rest::Error> {
     let taken: fake::service::CallCount =
         rest::Client::new(base, READ_TIMEOUT).get("/~fake/taken").await?;
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,9 +1,9 @@
 //! Plays scripted scenarios against real processes on loopback.
 //!
-//! A script ([`script`]) is one verb a line. The player ([`player`]) starts the
-//! fleet ([`fleet`]), sends requests as good clients do ([`draft`], [`mod@write`]),
-//! brings faults ([`fault`]), and at the end judges answers and the stand-ins'
-//! own history ([`history`]) by invariants that hold whatever happened.
+//! A script ([`script`]) has one verb a line. The player ([`player`]) starts the fleet
+//! ([`fleet`]), sends requests as well-behaved clients do ([`draft`], [`mod@write`]) and
+//! injects faults ([`fault`]). At the end it checks the answers and the history that the
+//! stand-ins recorded ([`history`]) against invariants that hold under all faults.
 
 pub mod binary;
 pub mod history;
--- a/crates/scenario/src/main.rs
+++ b/crates/scenario/src/main.rs
@@ -9,41 +9,41 @@
 use scenario::{script, sweep};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Exit code when a script can't be read or the programs are missing.
+/// Exit code if a script can't be read or programs are missing.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// Failures printed of one script.
+/// Maximum number of failures printed per script.
 const MAX_PRINTED_FAILURES: usize = 20;
 
 /// Plays scripted scenarios against real processes on loopback.
 ///
-/// Each script starts its own fleet with its own part of the loopback addresses,
-/// so runs don't disturb each other. docs/SCENARIOS.md lists the verbs.
+/// Each script starts its own fleet in its own range of loopback addresses, so
+/// concurrent runs don't affect each other. docs/SCENARIOS.md lists the verbs.
 #[derive(Debug, Parser)]
 #[command(name = "scenario", version)]
 struct Args {
     #[command(subcommand)]
     command: Command,
-    /// Takes the programs as they are in place of building them first.
+    /// Use the existing programs instead of building them first.
     #[arg(long, global = true)]
     no_build: bool,
-    /// Keeps settings and logs also after a script that passed.
+    /// Keep settings and logs of scripts that pass, too.
     #[arg(long, global = true)]
     keep: bool,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Plays scripts one after the other; exit code 1 when anything did not hold.
+    /// Play scripts one after the other; exit code 1 if any check fails.
     Run {
-        /// Scripts.
+        /// Script files.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Seed of prompts and lengths.
+        /// Random seed of prompts and lengths.
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Plays scripts with two random faults, one for each seed.
+    /// Play generated scripts with two random faults, one script per seed.
     Sweep {
         /// Number of seeds.
         #[arg(long)]
@@ -51,10 +51,10 @@
         /// First seed.
         #[arg(long, default_value_t = 1)]
         from: u64,
-        /// Faults between acceptance and answer, judged by what was told "not run".
+        /// Inject the faults between acceptance and answer, to check requests refused as "not run".
         #[arg(long)]
         not_run: bool,
-        /// Only prints the scripts.
+        /// Only print the scripts.
         #[arg(long)]
         print: bool,
     },
@@ -82,8 +82,8 @@
         Ok(programs) => programs,
         Err(e) => return usage_error(&e),
     };
-    // Processes are ended when their player is dropped, so a signal must drop it
-    // in place of ending this process at once and leaving them behind.
+    // Dropping the player kills its processes, so a signal has to drop the player;
+    // ending this process at once would leave them running.
     tokio::select! {
         code = play_all(&scripts, &programs, args.keep) => code,
         () = stop_signal() => ExitCode::FAILURE,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Plays one script; true when everything held.
+/// Plays one script; returns true if all checks pass.
 async fn play(script: &Script, lines: &[script::Line], programs: &Programs, keep: bool) -> bool {
     let dir = std::env::temp_dir().join(format!("hyssop-scenario-{}", uuid::Uuid::new_v4()));
     if let Err(e) = std::fs::create_dir_all(&dir) {
@@ -167,7 +167,7 @@
     passed
 }
 
-/// Prints the first failures, and writes all of them beside the logs.
+/// Prints the first failures and writes all of them to `failures.txt` beside the logs.
 fn report_failures(failures: &[String], dir: &Path) {
     failures.iter().take(MAX_PRINTED_FAILURES).for_each(|f| println!("FAILED {f}"));
     if failures.len() > MAX_PRINTED_FAILURES {
--- a/crates/scenario/src/process.rs
+++ b/crates/scenario/src/process.rs
@@ -1,4 +1,4 @@
-//! The processes a scenario starts, each ended by its own id.
+//! The processes that a scenario starts; each is stopped by its own process id.
 
 use std::fs::File;
 use std::path::PathBuf;
@@ -10,31 +10,31 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Longest wait for a process to say that it is ready.
+/// Time within which a process has to become ready.
 pub const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest wait for a process to drain after SIGTERM; above any drain the settings name.
+/// Time within which a process has to drain after SIGTERM; above every drain time in the settings.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What the script wants of a process.
+/// The state in which the script wants a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Wanted {
-    /// It must live.
+    /// The process must run.
     Running,
-    /// It lives and stands still.
+    /// The process is suspended by SIGSTOP.
     Frozen,
-    /// The script ended it.
+    /// The script stopped or killed the process, or has not started it.
     Stopped,
 }
 
-/// A process and how to start it again.
+/// A process and the command that starts it.
 #[derive(Debug)]
 pub struct Process {
-    /// Name, and of its log file.
+    /// Name of the process and its log file.
     pub name: String,
-    /// What the script wants of it.
+    /// State in which the script wants it.
     pub wanted: Wanted,
-    /// How often it ended without being asked to.
+    /// Number of unexpected exits.
     pub crashes: usize,
     program: PathBuf,
     args: Vec<String>,
@@ -43,7 +43,7 @@
 }
 
 impl Process {
-    /// A process not started yet; its output goes to `log`.
+    /// Creates a process without starting it; its standard error goes to the file `log`.
     pub fn new(name: &str, program: PathBuf, args: Vec<String>, log: PathBuf) -> Process {
         Process {
             name: name.to_string(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Starts it; its log goes on where it ended.
+    /// Starts the process; its output is appended to the log file.
     pub fn start(&mut self) -> Result<(), String> {
         let log = File::options().create(true).append(true).open(&self.log);
         let log = log.map_err(|e| format!("{}: log file: {e}", self.name))?;
@@ -73,11 +73,12 @@
         Ok(())
     }
 
-    /// Waits for the line `ready ...` on its output, then lets the rest of the output go.
+    /// Waits for the line `ready ...` on its standard output, then discards the rest of it.
     pub async fn ready(&mut self) -> Result<(), String> {
         let name = self.name.clone();
         let stdout = self.child.as_mut().and_then(|c| c.stdout.take());
-        let mut lines = BufReader::new(stdout.ok_or(format!("{name}: has no output"))?).lines();
+        let mut lines =
+            BufReader::new(stdout.ok_or(format!("{name}: no standard output"))?).lines();
         let wait = async {
             while let Ok(Some(line)) = lines.next_line().await {
                 if line.starts_with("ready") {
@@ -91,12 +92,12 @@
             Ok(false) => return Err(format!("{name}: ended before it was ready")),
             Err(_) => return Err(format!("{name}: not ready within {READY_TIMEOUT:?}")),
         }
-        // A closed pipe would end a process that prints later.
+        // A closed pipe would end the process when it prints later.
         tokio::spawn(async move { while let Ok(Some(_)) = lines.next_line().await {} });
         Ok(())
     }
 
-    /// Lets the output of a daemon go; it reports on its standard error.
+    /// Discards the standard output of a daemon; daemons log to standard error.
     pub fn discard_output(&mut self) {
         if let Some(stdout) = self.child.as_mut().and_then(|c| c.stdout.take()) {
             let mut lines = BufReader::new(stdout).lines();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Ends it at once.
+    /// Kills the process.
     pub async fn kill(&mut self) -> Result<(), String> {
         self.wanted = Wanted::Stopped;
         match self.child.take() {
@@ -113,41 +114,41 @@
         }
     }
 
-    /// Ends it at once, when it runs, whatever the script wants of it.
+    /// Kills the process if it runs, without changing the wanted state.
     pub async fn kill_if_running(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // An error says that it has ended already.
+            // An error means that the process has already ended.
             let _ = child.kill().await;
         }
     }
 
-    /// Stands it still.
+    /// Suspends the process (SIGSTOP).
     pub fn freeze(&mut self) -> Result<(), String> {
         self.signal(Signal::SIGSTOP)?;
         self.wanted = Wanted::Frozen;
         Ok(())
     }
 
-    /// Lets it go on.
+    /// Continues the process (SIGCONT).
     pub fn thaw(&mut self) -> Result<(), String> {
         self.signal(Signal::SIGCONT)?;
         self.wanted = Wanted::Running;
         Ok(())
     }
 
-    /// Asks it to stop. [`wait_stopped`] waits for the end.
+    /// Asks the process to stop (SIGTERM). [`wait_stopped`] waits for its end.
     pub fn terminate(&mut self) -> Result<Child, String> {
         self.signal(Signal::SIGTERM)?;
         self.wanted = Wanted::Stopped;
         self.child.take().ok_or(format!("{} does not run", self.name))
     }
 
-    /// Its process id while it runs.
+    /// Returns the process id while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().and_then(Child::id)
     }
 
-    /// True while it runs; a process that ended by itself is counted as a crash once.
+    /// Returns true while the process runs; counts an exit that was not requested as a crash, once.
     pub fn is_running(&mut self) -> bool {
         let Some(child) = self.child.as_mut() else { return false };
         match child.try_wait() {
@@ -167,7 +168,7 @@
     }
 }
 
-/// Waits for the end of a process that was asked to stop; anything but exit code 0 is an error.
+/// Waits for the end of a process that was asked to stop; an exit code other than 0 is an error.
 pub async fn wait_stopped(name: &str, mut child: Child) -> Result<(), String> {
     match tokio::time::timeout(DRAIN_TIMEOUT, child.wait()).await {
         Ok(Ok(status)) if status.success() => Ok(()),
--- a/crates/scenario/src/publish.rs
+++ b/crates/scenario/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing settings, also by two operators at once, and waiting for them to be in force.
+//! Publishing settings, also by two operators concurrently, and waiting until they are in force.
 
 use std::time::{Duration, Instant};
 
@@ -6,10 +6,10 @@
 use crate::process::Wanted;
 use crate::settings;
 
-/// Pause between two looks at the versions in force.
+/// Interval between two checks of the versions in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Publishes a change of one default.
+/// Publishes a change of one default; `fails` means that the publication must fail.
 pub async fn publish_default(
     fleet: &mut Fleet,
     change: &str,
@@ -18,7 +18,7 @@
     let text = settings::with_default(&fleet.text, change);
     let done = fleet.publish("operator-1", &text, &format!("set {change}"), None).await;
     match (done, fails) {
-        (Ok(_), true) => Err(format!("publishing {change} went through")),
+        (Ok(_), true) => Err(format!("publishing {change} succeeded")),
         (Err(e), true) => Ok(format!("publishing {change} was refused: {e}")),
         (Err(e), false) => Err(e),
         (Ok(_), false) => {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Two operators publish from the same version at once: one must win and the other be told.
+/// Lets two operators publish concurrently from the same version: exactly one must succeed.
 pub async fn publish_concurrently(
     fleet: &mut Fleet,
     base: u64,
@@ -44,14 +44,14 @@
     let (won, text) = match (&a, &b) {
         (Ok(_), Err(_)) => (first, one),
         (Err(_), Ok(_)) => (second, two),
-        (Ok(_), Ok(_)) => return Err("both operators were told that they won".to_string()),
-        (Err(a), Err(b)) => return Err(format!("both operators lost: {a}; {b}")),
+        (Ok(_), Ok(_)) => return Err("both operators succeeded".to_string()),
+        (Err(a), Err(b)) => return Err(format!("both operators failed: {a}; {b}")),
     };
     fleet.text = text;
-    Ok(format!("of two operators the one with {won} won"))
+    Ok(format!("of two operators the one with {won} succeeded"))
 }
 
-/// The version in force on each daemon that lives and is not frozen; 0 when it does not tell.
+/// Returns the version in force on each running daemon that is not frozen; 0 if it is unknown.
 pub async fn versions(fleet: &mut Fleet) -> Result<Vec<(String, u64)>, String> {
     let reported = fleet.versions().await?;
     let mut is_running = |name: &str| {
@@ -62,7 +62,7 @@
     Ok(reported.map(|(name, version)| (name, version.unwrap_or(0))).collect())
 }
 
-/// Waits until all living daemons have one version, higher than `above`.
+/// Waits until all running daemons have the same version in force, higher than `above`.
 pub async fn wait_in_force(
     fleet: &mut Fleet,
     above: u64,
--- a/crates/scenario/src/quarantine.rs
+++ b/crates/scenario/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine by the operators' command line.
+//! Lifting of quarantines with the operators' command-line tool.
 
 use serde::Deserialize;
 
@@ -10,7 +10,7 @@
     state: String,
 }
 
-/// Lets all requests run again that are refused; says how many there were.
+/// Lifts all quarantined requests that are refused; returns a line with their number.
 pub async fn lift(fleet: &Fleet) -> Result<String, String> {
     let shown = fleet.ctl(&["quarantine", "list", "--json"].map(String::from)).await?;
     let rows: Vec<Row> = serde_json::from_str(&shown).map_err(|e| format!("quarantine: {e}"))?;
--- a/crates/scenario/src/single.rs
+++ b/crates/scenario/src/single.rs
@@ -1,4 +1,4 @@
-//! Verbs that send one request and say how it must end.
+//! Verbs that send one request and check how it ends.
 
 use std::time::Instant;
 
@@ -21,7 +21,7 @@
     record: &Record,
 ) -> Result<(), String> {
     let part = line.number.unwrap_or(part);
-    // Engines die of a session whose tag holds this word; the agent's tag holds the prompt.
+    // An engine crashes when the session's tag contains this text; agents put the prompt in the tag.
     let name = match line.crash {
         true => format!("{}-{part}", fake::engine::CRASH_TAG),
         false => format!("single-{part}"),
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-/// Another workspace asks for a request by its id.
+/// Checks that another workspace can't read a request by its id and its own workspace can.
 async fn request_from_other_workspace(caller: &Caller, id: &str) -> Result<(), String> {
     for (workspace, status) in [(2, 404), (1, 200)] {
         let bearer = format!("Bearer {}", settings::key(workspace));
@@ -70,7 +70,7 @@
     Ok(())
 }
 
-/// Status and words of an end; a refusal's line begins with its status.
+/// Returns the status and text of an end; the line of a refusal begins with its status.
 fn status_and_reason(out: &Outcome) -> (u16, String) {
     match &out.verdict {
         Verdict::Right => (200, String::new()),
@@ -85,7 +85,7 @@
     }
 }
 
-/// Calls until the answer is not "not run, come back", or that is what the line expects.
+/// Calls again while the answer is "not run" with a retry time, unless the line expects that.
 async fn call_until_final(
     caller: &Caller,
     job: &write::Job,
@@ -105,7 +105,7 @@
     }
 }
 
-/// True when a "not run" of this status is what the line expects.
+/// Returns true if the line expects a "not run" with this status.
 fn is_expected(line: &script::Order, status: u16) -> bool {
     line.expect == Some(status) || line.outcome.as_deref() == Some("not-run")
 }
--- a/crates/scenario/src/sse.rs
+++ b/crates/scenario/src/sse.rs
@@ -1,24 +1,24 @@
-//! Server-sent events, as far as callers meet them.
+//! Server-sent events, as far as callers need them.
 
-/// One event.
+/// An event.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Event {
-    /// The `id:` line.
+    /// Value of the `id:` line.
     pub id: Option<String>,
-    /// The `event:` line.
+    /// Value of the `event:` line.
     pub event: Option<String>,
-    /// The `data:` lines, joined.
+    /// Values of the `data:` lines, joined by line feeds.
     pub data: String,
 }
 
-/// Cuts a stream of bytes into events.
+/// Parses events from a stream of bytes.
 #[derive(Debug, Clone, Default)]
 pub struct Reader {
     buf: Vec<u8>,
 }
 
 impl Reader {
-    /// Takes bytes as they come and returns the events they complete.
+    /// Adds bytes and returns the events that they complete.
     ///
     /// ```
     /// let mut rdr = scenario::sse::Reader::default();
@@ -37,7 +37,8 @@
     }
 }
 
-/// `None` for a block of comments only, as servers send to keep a connection alive.
+/// Parses an event. Returns `None` for a block of comments only, which servers send to keep a
+/// connection alive.
 fn event(block: &str) -> Option<Event> {
     let mut event = Event::default();
     let mut data = Vec::new();
--- a/crates/scenario/src/sweep.rs
+++ b/crates/scenario/src/sweep.rs
@@ -1,4 +1,4 @@
-//! Scripts with two random faults, one for each seed.
+//! Generated scripts with two random faults, one script per seed.
 
 use std::fmt::Write;
 
@@ -6,13 +6,13 @@
 
 use crate::load;
 
-/// A fault, and what ends it.
+/// A fault: the lines that inject it and end it.
 struct Fault {
     inject: &'static str,
     end: &'static str,
 }
 
-/// Faults that a sweep draws from. `GPU`, `ROUTER` and `DESK` become VMs.
+/// Faults of a sweep. `GPU`, `ROUTER` and `DESK` are replaced by names of VMs.
 const FAULTS: [Fault; 12] = [
     Fault { inject: "kill GPU", end: "restart GPU" },
     Fault { inject: "kill-engine GPU", end: "restart GPU" },
@@ -28,7 +28,7 @@
     Fault { inject: "kill DESK", end: "restart DESK" },
 ];
 
-/// Faults that fall between the acceptance of a request and its answer.
+/// Faults between the acceptance of a request and its answer.
 const MID_REQUEST_FAULTS: [Fault; 13] = [
     Fault { inject: "kill ROUTER", end: "restart ROUTER" },
     Fault { inject: "kill DESK", end: "restart DESK" },
@@ -45,8 +45,8 @@
     Fault { inject: "term ROUTER", end: "restart ROUTER" },
 ];
 
-/// The script of a seed whose faults fall between acceptance and answer, under callers
-/// that do not come back often, so that many hear "not run" as the last word.
+/// Returns the script of a seed with faults between acceptance and answer. Its callers retry
+/// only once, so that many requests end as "not run".
 ///
 /// ```
 /// assert_eq!(scenario::sweep::not_run(7), scenario::sweep::not_run(7));
@@ -57,7 +57,7 @@
     let second = (first + rng.random_range(1..MID_REQUEST_FAULTS.len())) % MID_REQUEST_FAULTS.len();
     let vms =
         [random_vm(&mut rng, "gpu"), random_vm(&mut rng, "router"), random_vm(&mut rng, "desk")];
-    // The second fault takes other VMs: a process that is gone can't be frozen.
+    // The second fault affects other VMs: a killed process can't be frozen.
     let others = vms.clone().map(|name| other_replica(&name));
     let mut text = String::from(
         "fleet --speeds 1000,2500 --slots 24\n\
@@ -79,7 +79,7 @@
     text
 }
 
-/// The script of a seed.
+/// Returns the script of a seed.
 ///
 /// ```
 /// assert_eq!(scenario::sweep::script(7), scenario::sweep::script(7));
@@ -90,7 +90,8 @@
     let second = (first + rng.random_range(1..FAULTS.len())) % FAULTS.len();
     let vms =
         [random_vm(&mut rng, "gpu"), random_vm(&mut rng, "router"), random_vm(&mut rng, "desk")];
-    // What is gone can't be frozen, nor be ready again while it is: another VM is.
+    // A killed process can't be frozen, nor can it become ready while it is frozen: on a
+    // conflict the second fault affects another VM.
     let clash = FAULTS[first].inject.starts_with("kill")
         && FAULTS[second].inject.starts_with("freeze")
         && FAULTS[first].inject.split(' ').nth(1) == FAULTS[second].inject.split(' ').nth(1);
@@ -111,8 +112,8 @@
     text
 }
 
-/// The ends of both faults. The log's comes first: the agent of a service that starts
-/// in an outage is not ready before it has read the log, and `restart` waits for that.
+/// Returns the lines that end both faults. That of the log comes first: the agent of a service
+/// that starts in an outage is not ready before it has read the log, and `restart` waits for it.
 fn fault_ends(first: String, second: String) -> String {
     match second.starts_with("log") {
         true => format!("{second}\n{first}\n"),
@@ -120,12 +121,12 @@
     }
 }
 
-/// A verb with the names of its VMs.
+/// Replaces the placeholders of a line by names of VMs.
 fn with_vms(text: &str, [gpu, router, desk]: &[String; 3]) -> String {
     text.replace("GPU", gpu).replace("ROUTER", router).replace("DESK", desk)
 }
 
-/// Another VM of the same role; an engine's is of the same range.
+/// Returns another VM of the same role; for an engine, one with the same range.
 fn other_replica(name: &str) -> String {
     match name.rsplit_once('-') {
         Some((role, "1")) => format!("{role}-2"),
--- a/crates/scenario/src/trace.rs
+++ b/crates/scenario/src/trace.rs
@@ -1,4 +1,4 @@
-//! The versions that each daemon had in force, as its log tells them.
+//! The versions of the settings that each daemon had in force, according to its log.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,23 +6,23 @@
 use cloud::log::{Client, Record};
 use hdrhistogram::Histogram;
 
-/// Begin of the text that a daemon writes at each change of its version.
+/// Start of the text that a daemon logs at each change of its version.
 const VERSION_PREFIX: &str = "settings: version ";
 
-/// One change of the version in force on a daemon.
+/// A change of the version in force on a daemon.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// The daemon.
+    /// VM of the daemon.
     pub vm: String,
-    /// The version; 0 at a start.
+    /// New version; 0 at a start without settings.
     pub version: u64,
-    /// The one before; `None` at a start.
+    /// Previous version; `None` at a start.
     pub before: Option<u64>,
-    /// Milliseconds since the Unix epoch.
+    /// Time in milliseconds since the Unix epoch.
     pub time_ms: u64,
 }
 
-/// Reads a daemon's log.
+/// Parses the log of a daemon.
 ///
 /// ```
 /// let log = "INFO settings: version 4 is in force after 3, 1700 ms\n";
@@ -44,7 +44,7 @@
     log.lines().filter_map(line).collect()
 }
 
-/// Reads the logs of these daemons.
+/// Parses the logs of several daemons.
 pub fn read_all(dir: &Path, vms: &[String]) -> Vec<Applied> {
     let one = |vm: &String| {
         let log = std::fs::read_to_string(dir.join("logs").join(format!("{vm}.log")));
@@ -53,7 +53,7 @@
     vms.iter().flat_map(one).collect()
 }
 
-/// Adds what the stream of settings holds now to what was seen of it before.
+/// Appends the new records of the stream of settings to those read before.
 pub async fn extend(seen: &mut Vec<Record>, log: &str) {
     let from = seen.last().map_or(0, |r| r.offset + 1);
     let client = Client::new(log, Duration::from_secs(2));
@@ -62,7 +62,7 @@
     }
 }
 
-/// Daemons that went back to a lower version while they ran.
+/// Returns a line for each daemon that changed to a lower version while it ran.
 pub fn version_decreases(applied: &[Applied]) -> Vec<String> {
     let decreases = applied.iter().filter(|a| a.before.is_some_and(|before| a.version <= before));
     decreases
@@ -70,8 +70,8 @@
         .collect()
 }
 
-/// How long after it stood in the log each version was in force. A daemon's first version
-/// after a start is left out: that measures its start.
+/// Returns a line with the delay between the append of a version to the log and its use by the
+/// daemons. The first version after a start is omitted, since it measures the start.
 pub fn line(applied: &[Applied], stream: &[Record]) -> Option<String> {
     let mut histogram = Histogram::<u64>::new_with_max(600_000, 3).ok()?;
     for a in applied.iter().filter(|a| a.before.is_some_and(|before| before > 0)) {
--- a/crates/scenario/src/usage.rs
+++ b/crates/scenario/src/usage.rs
@@ -1,26 +1,26 @@
-//! What the daemons cost over a time: processor, memory, bytes of control.
+//! Resource usage of the daemons over a period: processor, memory, bytes of control traffic.
 
 use std::time::Duration;
 
 use crate::fleet::{Backend, CALL_TIMEOUT, Fleet, Vm};
 
-/// Clock ticks a second in `/proc/PID/stat`, as Linux shows them to processes.
+/// Clock ticks a second in `/proc/PID/stat` on Linux.
 const TICKS_PER_S: f64 = 100.0;
 
-/// A reading of one daemon.
+/// Usage of a daemon: totals, or amounts per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct Reading {
-    /// Seconds of processor time.
+    /// Processor time, in seconds.
     cpu: f64,
-    /// Memory in use, in MB.
+    /// Resident memory, in MB.
     memory: f64,
-    /// Bytes on links, both ways.
+    /// Bytes on links, in both directions.
     link: f64,
-    /// Bytes of HTTP towards platform and backend server, both ways.
+    /// Bytes of HTTP to and from platform and backend server.
     http: f64,
 }
 
-/// Waits for `time` and tells for each role the mean of its daemons: a line each.
+/// Measures for `time` and returns a line per role with the mean of its daemons.
 pub async fn measure(fleet: &mut Fleet, time: Duration) -> Result<Vec<String>, String> {
     let vms = fleet.vms.clone();
     let mut before = Vec::new();
@@ -71,7 +71,7 @@
 async fn read(fleet: &mut Fleet, vm: &Vm) -> Result<Reading, String> {
     let id = fleet.process(&vm.name)?.id().ok_or(format!("{} does not run", vm.name))?;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).map_err(|e| e.to_string())?;
-    // Fields 14 and 15, counted from 1; the name in field 2 may hold spaces.
+    // Fields 14 and 15, counted from 1; the name in field 2 may contain spaces.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |i: usize| fields.get(i - 3).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     let status =
--- a/crates/scenario/src/write.rs
+++ b/crates/scenario/src/write.rs
@@ -8,40 +8,40 @@
 use crate::outcome::{Kind, Outcome, Verdict};
 use crate::settings;
 
-/// A caller gives up on a call after this.
+/// Time after which a caller starts no further attempt of a call.
 pub const MAX_DURATION: Duration = Duration::from_secs(60);
 
-/// A call of the plain service.
+/// A call to the plain service.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Idempotency key of an order; the id looked up otherwise.
+    /// Idempotency key of an order, or the id of a look-up.
     pub key: String,
     /// Body of an order.
     pub body: String,
     /// Workspace, from 1.
     pub workspace: usize,
-    /// Router it starts with; any number.
+    /// Number of the first router; taken modulo the number of routers.
     pub router: usize,
-    /// Times it may come back.
+    /// Maximum number of retries.
     pub tries: u32,
 }
 
-/// What one call brought.
+/// The reply to a call.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Id of this sending, or empty.
+    /// Request id of this attempt, or empty.
     pub request: String,
-    /// It was a stored answer.
+    /// True if it is a stored answer.
     pub replayed: bool,
     /// Body.
     pub body: Vec<u8>,
-    /// The refusal, when it is one by the fleet.
+    /// The refusal, if the fleet refused the call.
     pub problem: Option<Problem>,
 }
 
-/// One call through one router.
+/// Sends a call once, through one router.
 pub async fn call(
     caller: &Caller,
     kind: Kind,
@@ -76,7 +76,7 @@
     })
 }
 
-/// Calls until there is a last word.
+/// Sends a call and retries it until its outcome is final.
 pub async fn run(caller: &Caller, kind: Kind, job: &Job) -> Outcome {
     let mut out = Outcome::new(kind, &job.key);
     out.workspace = job.workspace;
@@ -109,7 +109,7 @@
     out
 }
 
-/// The last word, or the time to wait before coming back and why.
+/// Returns the final verdict, or the time to wait before a retry and its reason.
 fn judge_reply(
     kind: Kind,
     reply: Result<Reply, rest::Error>,
@@ -118,7 +118,7 @@
     let reply = match reply {
         Ok(reply) => reply,
         Err(e) => {
-            // The same key makes the repeat of an order harmless.
+            // The idempotency key makes it safe to retry an order.
             out.unknowns += u32::from(!e.unsent());
             return Err((MIN_PAUSE, e.to_string()));
         }
@@ -144,7 +144,7 @@
     let status = reply.status;
     let right = match kind {
         Kind::Order => (200..300).contains(&status),
-        // Nobody has filed what a look-up asks for, so the service itself may say 404.
+        // No record exists for the id of a look-up, so the service itself may answer 404.
         _ => status == 200 || status == 404,
     };
     out.answer = Some(reply.body);
