--- a/crates/scenario/src/script/option.rs
+++ b/crates/scenario/src/script/option.rs
@@ -1,4 +1,4 @@
-//! What follows a verb: its options, and the statements of `expect`.
+//! The options of the verbs, and the statements of `expect`.
 
 use clap::{Args, Subcommand};
 
@@ -7,56 +7,56 @@
 /// Verb `fleet`.
 #[derive(Debug, Clone, Args)]
 pub struct Fleet {
-    /// Data centres; VMs are spread over them in turn.
+    /// Number of data centres; VMs are assigned to them in turn.
     #[arg(long, default_value_t = 3)]
     pub data_centres: usize,
-    /// Routers.
+    /// Number of routers.
     #[arg(long, default_value_t = 3)]
     pub routers: usize,
-    /// Engines for each layer range.
+    /// Number of engines per layer range.
     #[arg(long, default_value_t = 2)]
     pub replicas: usize,
-    /// Layer ranges.
+    /// Layer ranges of the engines.
     #[arg(long, value_delimiter = ',', value_parser = span, default_value = "0-3,4-7,8-11")]
     pub ranges: Vec<Span>,
-    /// Plain services, all of one book.
+    /// Number of plain services, which share one ledger.
     #[arg(long, default_value_t = 3)]
     pub services: usize,
-    /// Microseconds of a batch step for the replicas of a range, in turn.
+    /// Microseconds per batch, for the replicas of a range in turn.
     #[arg(long, value_delimiter = ',', default_value = "2000")]
     pub speeds: Vec<u64>,
-    /// Microseconds a batch step takes longer for each position in it.
+    /// Microseconds that each position adds to its batch.
     #[arg(long, default_value_t = 50)]
     pub token_us: u64,
-    /// Largest batch of an engine.
+    /// Maximum number of steps in a batch.
     #[arg(long, default_value_t = 16)]
     pub batch: u32,
-    /// Sessions an engine holds.
+    /// Maximum number of concurrent sessions of an engine.
     #[arg(long, default_value_t = 64)]
     pub slots: u32,
-    /// Workspaces with a key each.
+    /// Number of workspaces; each has a key.
     #[arg(long, default_value_t = 3)]
     pub workspaces: usize,
-    /// What the settings favour.
+    /// Objective in the settings.
     #[arg(long, default_value = "throughput")]
     pub objective: String,
-    /// Appends a second the log takes.
+    /// Maximum number of appends a second to the log.
     #[arg(long, default_value_t = 400)]
     pub rate: u32,
-    /// A relay before each daemon's port, so that links can be cut and slowed.
+    /// Places a relay in front of each daemon's port, so that links can be cut and delayed.
     #[arg(long)]
     pub links: bool,
-    /// VMs whose daemons can't reach the log.
+    /// VMs whose daemons can't reach the log service.
     #[arg(long, value_delimiter = ',')]
     pub no_log: Vec<String>,
-    /// Engines that ignore fencing numbers.
+    /// Makes the engines ignore fencing numbers.
     #[arg(long)]
     pub unfenced: bool,
-    /// What the contract promises for orders. `idempotent` shows what a repeat does
-    /// without the system's own protection.
+    /// Class of orders in the service contract. `idempotent` shows the effect of a retry
+    /// without the protection by the system.
     #[arg(long, default_value = "non-idempotent")]
     pub orders_class: String,
-    /// More defaults, KEY=VALUE each.
+    /// Further defaults in the settings, each KEY=VALUE.
     #[arg(long = "set")]
     pub settings: Vec<String>,
     /// Log level of the daemons.
@@ -67,39 +67,40 @@
 /// Verb `drafts`.
 #[derive(Debug, Clone, Args)]
 pub struct Drafts {
-    /// How many, how many at once, and from whom.
+    /// Number, concurrency and senders of the requests.
     #[command(flatten)]
     pub load: Load,
-    /// Words of a prompt.
+    /// Number of words of a prompt.
     #[arg(long, value_parser = span, default_value = "5-40")]
     pub prompt_words: Span,
-    /// Tokens asked for.
+    /// Requested number of tokens.
     #[arg(long, value_parser = span, default_value = "8-32")]
     pub tokens: Span,
 }
 
-/// How many requests, and how they come.
+/// Number, concurrency and senders of requests.
 #[derive(Debug, Clone, Args)]
 pub struct Load {
-    /// Requests.
+    /// Number of requests.
     #[arg(long)]
     pub count: usize,
-    /// At once.
+    /// Maximum number of concurrent requests.
     #[arg(long, default_value_t = 40)]
     pub concurrency: usize,
-    /// Workspaces that send them in turn.
+    /// Number of workspaces that send the requests in turn.
     #[arg(long, default_value_t = 3)]
     pub workspaces: usize,
-    /// The first of these workspaces.
+    /// Number of the first of these workspaces.
     #[arg(long, default_value_t = 1)]
     pub from_workspace: usize,
-    /// Milliseconds that each sender waits after an answer, so that the load outlasts the faults.
+    /// Milliseconds that each sender waits after an answer, so that the load lasts longer than the
+    /// faults.
     #[arg(long, default_value_t = 0)]
     pub every: u64,
-    /// Goes on with the script at once; `join` waits.
+    /// Continues with the script at once; `join` waits for the requests.
     #[arg(long)]
     pub background: bool,
-    /// How often a caller comes back after "not run" or a lost connection.
+    /// Maximum number of retries after "not run" or a lost connection.
     #[arg(long, default_value_t = 40)]
     pub tries: u32,
 }
@@ -107,10 +108,10 @@
 /// Verb `orders`.
 #[derive(Debug, Clone, Args)]
 pub struct Orders {
-    /// How many, how many at once, and from whom.
+    /// Number, concurrency and senders of the requests.
     #[command(flatten)]
     pub load: Load,
-    /// Part of the orders that are sent again with their key through another router at the same time.
+    /// Share of the orders that are sent concurrently through a second router with the same key.
     #[arg(long, default_value_t = 0.0)]
     pub repeat_through_other_router: f64,
 }
@@ -118,7 +119,7 @@
 /// Verb `repeats`.
 #[derive(Debug, Clone, Args)]
 pub struct Repeats {
-    /// At once.
+    /// Maximum number of concurrent requests.
     #[arg(long, default_value_t = 20)]
     pub concurrency: usize,
 }
@@ -126,25 +127,25 @@
 /// Verb `draft`.
 #[derive(Debug, Clone, Args)]
 pub struct Draft {
-    /// The request crashes each engine that runs it.
+    /// Makes the request crash each engine that runs it.
     #[arg(long)]
     pub crash: bool,
-    /// How often its caller sends it, each time through another router.
+    /// Number of times that the caller sends it, each time through another router.
     #[arg(long, default_value_t = 1)]
     pub times: u32,
-    /// Number of its text; lines with the same one send the same text.
+    /// Number that selects the prompt; lines with the same number send the same prompt.
     #[arg(long)]
     pub number: Option<u64>,
-    /// Another workspace asks for it by its id afterwards and must be told that there is none.
+    /// Afterwards another workspace requests it by its id and must get a 404.
     #[arg(long)]
     pub stolen: bool,
-    /// Words of the prompt.
+    /// Number of words of the prompt.
     #[arg(long, default_value_t = 12)]
     pub prompt_words: u32,
-    /// Tokens asked for.
+    /// Requested number of tokens.
     #[arg(long, default_value_t = 16)]
     pub tokens: u32,
-    /// Status the last answer must have.
+    /// Expected status of the last answer.
     #[arg(long)]
     pub expect: Option<u16>,
 }
@@ -164,16 +165,16 @@
     /// Workspace, from 1.
     #[arg(long, default_value_t = 1)]
     pub workspace: usize,
-    /// Status the answer must have; 201 when neither this nor an outcome is named.
+    /// Expected status of the answer; 201 if neither this nor an outcome is given.
     #[arg(long)]
     pub expect: Option<u16>,
-    /// The answer must be one that was stored.
+    /// Expects a stored answer.
     #[arg(long)]
     pub replayed: bool,
-    /// The refusal must name this outcome.
+    /// Expected outcome in the refusal.
     #[arg(long)]
     pub outcome: Option<String>,
-    /// Goes on with the script at once; `join` waits and states what did not hold.
+    /// Continues with the script at once; `join` waits for the order and reports a failed check.
     #[arg(long)]
     pub background: bool,
 }
@@ -181,22 +182,22 @@
 /// Verb `log`.
 #[derive(Debug, Clone, Args)]
 pub struct Log {
-    /// Takes the log down or up.
+    /// Starts or ends an outage of the log.
     #[arg(long, value_enum)]
     pub outage: Option<Switch>,
-    /// The next answers to appends are lost after they took effect.
+    /// Number of next appends whose answers are lost after they took effect.
     #[arg(long)]
     pub lose: Option<u32>,
-    /// The next appends are refused with 429.
+    /// Number of next appends that are refused with 503.
     #[arg(long)]
     pub refuse: Option<u32>,
-    /// Milliseconds each call takes longer.
+    /// Additional delay of each call, in milliseconds.
     #[arg(long)]
     pub delay: Option<u64>,
-    /// Records kept of each stream.
+    /// Number of records retained per stream.
     #[arg(long)]
     pub retain: Option<u64>,
-    /// Lets the records of this stream expire.
+    /// Expires the records of this stream.
     #[arg(long)]
     pub expire: Option<String>,
     /// With `--expire`: only those before this offset.
@@ -209,19 +210,19 @@
 pub struct Service {
     /// VM.
     pub vm: String,
-    /// The next answers are lost after the write took effect.
+    /// Number of next writes whose answers are lost after they took effect.
     #[arg(long)]
     pub lose: Option<u32>,
-    /// Takes the service down or up.
+    /// Starts or ends an outage of the service.
     #[arg(long, value_enum)]
     pub down: Option<Switch>,
-    /// Milliseconds of each call.
+    /// Duration of each call, in milliseconds.
     #[arg(long)]
     pub delay: Option<u64>,
-    /// Milliseconds the service stands still.
+    /// Delay between the recording of a write and its answer, in milliseconds.
     #[arg(long)]
     pub stall: Option<u64>,
-    /// The next calls fail.
+    /// Number of next writes that fail.
     #[arg(long)]
     pub fail: Option<u32>,
 }
@@ -231,89 +232,89 @@
 pub struct Engine {
     /// VM.
     pub vm: String,
-    /// Microseconds of a batch step.
+    /// Microseconds per batch.
     #[arg(long)]
     pub step_us: Option<u64>,
-    /// The engine takes steps and never answers.
+    /// Makes the engine accept steps without answering them.
     #[arg(long, value_enum)]
     pub hang: Option<Switch>,
-    /// The next steps fail.
+    /// Number of next steps that fail.
     #[arg(long)]
     pub fail: Option<u32>,
 }
 
-/// What `expect` can state.
+/// The statements of `expect`.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Expect {
-    /// Part of all requests that were answered right.
+    /// Share of all requests that were answered correctly.
     Answered {
-        /// At least this part, 0 to 1.
+        /// Minimum share, 0 to 1.
         #[arg(long, default_value_t = 1.0)]
         min: f64,
     },
-    /// No answer differs from the one computed straight through.
+    /// No answer differs from the expected one.
     Right,
     /// No key ran more than once.
     NoneDoubled,
-    /// A key ran so many times.
+    /// A key ran this many times.
     Runs {
         /// Key.
         key: String,
-        /// Times.
+        /// Number of runs.
         times: u32,
     },
-    /// Nothing that was told "not run" stands in a book.
+    /// No request refused as "not run" is in the history of a stand-in.
     #[command(alias = "no-ghosts")]
     NotRunTrue,
-    /// Runs of each layer for each token.
+    /// Runs per layer and token.
     LayerRuns {
-        /// Exactly this, to three places.
+        /// Exact value, to three decimal places.
         value: Option<f64>,
-        /// At most this.
+        /// Maximum value.
         #[arg(long)]
         max: Option<f64>,
     },
-    /// All daemons that live have the same version in force.
+    /// All running daemons have the same version in force.
     OneVersion,
-    /// At most this many accepted requests were cut or lost.
+    /// Number of accepted requests that were cut or lost.
     Cut {
-        /// At most.
+        /// Maximum number.
         #[arg(long, default_value_t = 0)]
         max: usize,
     },
-    /// At most this many requests ended as unknown.
+    /// Number of requests with an unknown outcome.
     Unknown {
-        /// At most.
+        /// Maximum number.
         #[arg(long, default_value_t = 0)]
         max: usize,
     },
-    /// Orders that all engines took, each engine with rising fencing numbers.
+    /// Number of orders accepted by all engines; the fencing numbers of each engine must increase.
     Loads {
-        /// At least.
+        /// Minimum number.
         #[arg(long, default_value_t = 1)]
         min: usize,
-        /// At most.
+        /// Maximum number.
         #[arg(long)]
         max: usize,
     },
-    /// Backend servers that crashed by themselves.
+    /// Number of crashes of backend servers.
     Crashes {
-        /// At least.
+        /// Minimum number.
         #[arg(long, default_value_t = 0)]
         min: usize,
-        /// At most.
+        /// Maximum number.
         #[arg(long)]
         max: usize,
     },
-    /// A leaving VM got its last new work within this time.
+    /// A leaving VM got its last new work within a time.
     Left {
         /// VM.
         vm: String,
-        /// Milliseconds from `leave`.
+        /// Milliseconds after `leave`.
         #[arg(long, default_value_t = 5000)]
         within: u64,
     },
-    /// A VM has run new work since it was added or restarted.
+    /// The engine of a VM gets new work after it was added or restarted.
     Works {
         /// VM.
         vm: String,
--- a/crates/scenario/src/script/verb.rs
+++ b/crates/scenario/src/script/verb.rs
@@ -5,7 +5,7 @@
 use super::Switch;
 use super::option::*;
 
-/// Everything a line can say.
+/// A verb with its options.
 #[derive(Debug, Clone, Subcommand)]
 pub enum Verb {
     /// Starts the stand-ins, the engines, the services, their agents and the routers.
@@ -14,38 +14,38 @@
     Drafts(Drafts),
     /// Sends look-ups to the plain service.
     Lookups(Load),
-    /// Sends non-idempotent orders, each with a key of its own.
+    /// Sends non-idempotent orders, each with its own key.
     Orders(Orders),
     /// Sends the orders of all earlier `orders` lines again, each through another router.
     Repeats(Repeats),
-    /// Sends one draft and says how it must end.
+    /// Sends one draft and checks how it ends.
     Draft(Draft),
-    /// Sends one order and says how it must end.
+    /// Sends one order and checks how it ends.
     Order(Order),
-    /// Waits for all background work.
+    /// Waits for all background requests.
     Join,
-    /// Waits until this many requests sent by the script have ended.
+    /// Waits until a number of the script's requests have ended.
     Await {
-        /// Requests that must have ended.
+        /// Number of ended requests.
         #[arg(long)]
         ended: usize,
     },
-    /// Waits.
+    /// Waits for a time.
     Sleep {
         /// Milliseconds.
         ms: u64,
     },
-    /// Kills the daemon of a VM at once (SIGKILL).
+    /// Kills the daemon of a VM (SIGKILL).
     Kill {
         /// VM.
         vm: String,
     },
-    /// Kills the backend server of a VM at once (SIGKILL); its history are read just before.
+    /// Kills the backend server of a VM (SIGKILL); an engine's history is read just before.
     KillEngine {
         /// VM.
         vm: String,
     },
-    /// Starts what was killed or stopped on a VM.
+    /// Starts the killed or stopped processes of a VM.
     Restart {
         /// VM.
         vm: String,
@@ -58,7 +58,7 @@
         #[arg(long)]
         engine: bool,
     },
-    /// Lets a frozen VM go on (SIGCONT).
+    /// Continues the frozen processes of a VM (SIGCONT).
     Thaw {
         /// VM.
         vm: String,
@@ -68,34 +68,34 @@
         /// VM.
         vm: String,
     },
-    /// Stops and starts daemons one after the other, each ready again before the next.
+    /// Restarts daemons one after the other; each is ready before the next is stopped.
     Rolling {
         /// Role of the VMs.
         #[arg(value_enum)]
         role: Role,
     },
-    /// Starts one more engine with its agent; its VM enters the list.
+    /// Adds an engine with its agent on a new VM, which is added to the VM list.
     Add {
-        /// Number of the layer range, from 0.
+        /// Index of the layer range, from 0.
         range: usize,
-        /// The engine holds nothing; the range is the one it is expected to load.
+        /// Starts the engine without layers; the range is the one it is expected to load.
         #[arg(long)]
         spare: bool,
-        /// Microseconds of a batch step.
+        /// Microseconds per batch.
         #[arg(long, default_value_t = 1000)]
         step_us: u64,
     },
-    /// Cuts the links from one VM, data centre or `*` to another, both ways.
+    /// Cuts the links from one VM, data centre or `*` to another, in both directions.
     Cut {
         /// VM, data centre or `*`.
         from: String,
         /// VM, data centre or `*`.
         to: String,
-        /// Cuts only this way.
+        /// Cuts only this direction.
         #[arg(long)]
         one_way: bool,
     },
-    /// Slows, thins or doubles the datagrams from one VM, data centre or `*` to another.
+    /// Delays, drops or duplicates datagrams from one VM, data centre or `*` to another.
     Delay {
         /// VM, data centre or `*`.
         from: String,
@@ -103,32 +103,32 @@
         to: String,
         /// Milliseconds.
         ms: u64,
-        /// Part of the datagrams lost, 0 to 1.
+        /// Share of the datagrams dropped, 0 to 1.
         #[arg(long, default_value_t = 0.0)]
         loss: f64,
-        /// Part of the datagrams doubled, 0 to 1.
+        /// Share of the datagrams duplicated, 0 to 1.
         #[arg(long, default_value_t = 0.0)]
         duplicate: f64,
     },
-    /// Takes all faults off the links.
+    /// Removes all faults of the links.
     Heal,
-    /// An operator lifts all requests out of quarantine.
+    /// Lifts all requests out of quarantine, as an operator.
     Lift,
-    /// Faults of the log service.
+    /// Injects faults into the log service.
     Log(Log),
-    /// Faults of the VM list.
+    /// Injects faults into the VM list.
     Vms {
-        /// Milliseconds by which the list lags.
+        /// Delay after which a change becomes visible, in milliseconds.
         #[arg(long)]
         lag: Option<u64>,
-        /// Takes the list down or up.
+        /// Starts or ends an outage of the list.
         #[arg(long, value_enum)]
         outage: Option<Switch>,
-        /// Part of the VMs that the list lacks by mistake, 0 to 1.
+        /// Share of the VMs that the list omits by mistake, 0 to 1.
         #[arg(long)]
         hide: Option<f64>,
     },
-    /// Marks a VM as leaving in the VM list and watches when it last gets new work.
+    /// Marks a VM as leaving in the VM list and records when it last gets new work.
     Leave {
         /// VM.
         vm: String,
@@ -138,13 +138,13 @@
         /// VM.
         vm: String,
     },
-    /// Faults of a plain service.
+    /// Injects faults into a plain service.
     Service(Service),
-    /// Faults of an engine.
+    /// Injects faults into an engine.
     Engine(Engine),
-    /// Restarts backend servers that crash by themselves, as a VM's own init does.
+    /// Restarts backend servers that crash, as the init system of a VM does.
     Supervise {
-        /// Milliseconds from the crash to the start.
+        /// Milliseconds between two checks for crashed backend servers.
         #[arg(long, default_value_t = 200)]
         after: u64,
     },
@@ -155,24 +155,24 @@
         /// A second operator publishes this value at the same time.
         #[arg(long)]
         racing: Option<String>,
-        /// The publication must fail, as in an outage of the log.
+        /// Expects the publication to fail, as in an outage of the log.
         #[arg(long)]
         fails: bool,
     },
-    /// Waits until all daemons that live have the newest version in force.
+    /// Waits until all running daemons have a new version in force.
     WaitVersion {
-        /// Milliseconds at most; generous, since the time itself is only printed.
+        /// Time-out in milliseconds; long, since the time itself is only printed and not checked.
         #[arg(long, default_value_t = 15_000)]
         within: u64,
     },
-    /// States what must hold; the end of a script states the invariants by itself.
+    /// Checks a statement. The invariants are checked at the end of every script without it.
     Expect {
-        /// What.
+        /// Statement.
         #[command(subcommand)]
         what: Expect,
     },
-    /// Waits, then notes what the daemons of each role cost meanwhile: part of a core,
-    /// memory, bytes a second on links and by HTTP.
+    /// Measures the resource usage of the daemons of each role for a time: share of a core,
+    /// memory, bytes a second on links and over HTTP.
     Usage {
         /// Seconds.
         #[arg(default_value_t = 20)]
