--- a/crates/scenario/tests/invariants.rs
+++ b/crates/scenario/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! The checks find what they are there for: each violation is planted here.
+//! The checks find violations: each test constructs one.
 
 use std::time::{Duration, Instant};
 
@@ -36,8 +36,8 @@
     holds: bool,
 }
 
-/// A stage that takes a repeated frame for a new one applies a position twice, one that
-/// lets frames overtake each other skips one. Users get drafts that read like nonsense.
+/// A stage that treats a repeated frame as a new one applies a position twice; a stage that
+/// reorders frames skips one. Users get drafts with wrong text.
 #[rstest]
 #[case::in_order(Runs { runs: &[(0, 10)], holds: true })]
 #[case::imported(Runs { runs: &[(5, 4)], holds: true })]
@@ -49,16 +49,16 @@
     assert_eq!(violations.is_empty(), case.holds, "{violations:?}");
 }
 
-/// A write whose answer was lost runs again on its repeat. Users get two print orders.
+/// A write whose answer was lost runs again on its retry. Users get two print orders.
 #[test]
-fn a_doubled_write_is_found() {
+fn a_write_that_ran_twice_is_found() {
     let runs = vec![("a".to_string(), 1), ("b".to_string(), 2)];
     let violations = history::duplicate_runs(&runs);
     assert_eq!(violations.len(), 1);
     assert!(violations[0].what.starts_with("b "));
 }
 
-/// An answer is given for an order that no service holds. Users wait for bands nobody prints.
+/// An order is answered but no service recorded it. Users wait for bands that nobody prints.
 #[test]
 fn an_order_that_was_answered_and_never_ran_is_found() {
     let outcomes = [outcome(Kind::Order, "a", Verdict::Right)];
@@ -66,38 +66,38 @@
     assert!(history::lost_orders(&outcomes, &vec![("a".to_string(), 1)]).is_empty());
 }
 
-struct Ghost {
+struct NotRun {
     kind: Kind,
     verdict: Verdict,
     unknowns: u32,
-    told: &'static str,
+    refused: &'static str,
     found: bool,
 }
 
-/// "Not run" is said of something that ran. Users send it again and it runs twice. Whether
-/// another sending was answered does not matter: each has an id of its own.
+/// A request that ran is refused as "not run". Users send it again and it runs twice. Whether
+/// another attempt was answered does not matter: each attempt has its own id.
 #[rstest]
-#[case::draft(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "gpu-1.7.x", found: true })]
-#[case::draft_then_answered(Ghost { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, told: "gpu-1.7.x", found: true })]
-#[case::draft_ran_under_another_head(Ghost { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "gpu-2.9.x", found: true })]
-#[case::another_draft_ran(Ghost { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, told: "gpu-1.7.y", found: false })]
-#[case::order(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 0, told: "router-1.5.a", found: true })]
-#[case::order_answered_later(Ghost { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, told: "router-1.5.a", found: true })]
-#[case::order_in_doubt(Ghost { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 1, told: "router-1.5.a", found: true })]
-#[case::another_sending_ran(Ghost { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, told: "router-2.5.b", found: false })]
-fn work_that_was_told_not_run_is_found(#[case] case: Ghost) {
+#[case::draft(NotRun { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, refused: "gpu-1.7.x", found: true })]
+#[case::draft_then_answered(NotRun { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, refused: "gpu-1.7.x", found: true })]
+#[case::draft_ran_under_another_head(NotRun { kind: Kind::Draft, verdict: Verdict::NotRun(String::new()), unknowns: 0, refused: "gpu-2.9.x", found: true })]
+#[case::another_draft_ran(NotRun { kind: Kind::Draft, verdict: Verdict::Right, unknowns: 0, refused: "gpu-1.7.y", found: false })]
+#[case::order(NotRun { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 0, refused: "router-1.5.a", found: true })]
+#[case::order_answered_later(NotRun { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, refused: "router-1.5.a", found: true })]
+#[case::order_with_unknown_outcome(NotRun { kind: Kind::Order, verdict: Verdict::NotRun(String::new()), unknowns: 1, refused: "router-1.5.a", found: true })]
+#[case::another_attempt_ran(NotRun { kind: Kind::Order, verdict: Verdict::Right, unknowns: 0, refused: "router-2.5.b", found: false })]
+fn work_that_ran_despite_not_run_is_found(#[case] case: NotRun) {
     let mut out = outcome(case.kind, "x", case.verdict);
     out.unknowns = case.unknowns;
-    out.not_run = vec![case.told.to_string()];
+    out.not_run = vec![case.refused.to_string()];
     let engines = vec![engine(vec![opened("gpu-1.7.x.1.0", &[(0, 3)])])];
     let requests = vec!["router-1.5.a".to_string()];
     let history = History { engines, runs: vec![("x".to_string(), 1)], requests };
     assert_eq!(!history::ran_despite_not_run(&[out], &history).is_empty(), case.found);
 }
 
-/// A session that was opened and ran nothing is no run.
+/// A session that was opened but ran no step does not count as a run.
 #[test]
-fn an_opened_session_without_a_step_is_no_ghost() {
+fn an_opened_session_without_a_step_is_no_violation() {
     let mut out = outcome(Kind::Draft, "x", Verdict::NotRun(String::new()));
     out.not_run = vec!["x".to_string()];
     let history = History {
@@ -108,7 +108,7 @@
     assert!(history::ran_despite_not_run(&[out], &history).is_empty());
 }
 
-/// An answer differs from the straight-through one, or breaks off. Users get half a label text.
+/// An answer differs from the expected one or is incomplete. Users get a wrong or partial label text.
 #[test]
 fn wrong_and_lost_answers_are_found() {
     let outcomes = [
@@ -125,7 +125,7 @@
     exact: bool,
 }
 
-/// A layer range runs again though nothing was lost. Users wait longer on slower engines.
+/// A layer range runs again although nothing was lost. Engines are slower and users wait longer.
 #[rstest]
 #[case::once(Layer { sessions: vec![opened("x.1.0", &[(0, 10)])], exact: true })]
 #[case::again(Layer { sessions: vec![opened("x.1.0", &[(0, 10)]), opened("x.2.0", &[(0, 10)])], exact: false })]
@@ -138,24 +138,24 @@
     assert_eq!(expect::judge(&what, &facts).unwrap().is_ok(), case.exact);
 }
 
-/// A stage dies: the drafts under way wait for their next token, which is the figure.
+/// A stage ends: the figure is the time that drafts in progress wait for their next token.
 #[test]
-fn the_wait_after_a_fault_is_that_of_drafts_under_way() {
+fn the_wait_after_a_fault_is_that_of_drafts_in_progress() {
     let at = Instant::now() + Duration::from_secs(5);
     let ms = |n: u64| at + Duration::from_millis(n);
-    let mut under_way = outcome(Kind::Draft, "a", Verdict::Right);
-    under_way.token_times = vec![at - Duration::from_millis(10), ms(300)];
+    let mut in_progress = outcome(Kind::Draft, "a", Verdict::Right);
+    in_progress.token_times = vec![at - Duration::from_millis(10), ms(300)];
     let mut later = outcome(Kind::Draft, "b", Verdict::Right);
     later.token_times = vec![ms(900)];
     let fault = recovery::Fault { name: "kill gpu-1-1".to_string(), at };
-    let line = recovery::line(&fault, &[under_way, later]).unwrap();
+    let line = recovery::line(&fault, &[in_progress, later]).unwrap();
     assert!(line.contains("max 300 ms over 1 drafts"), "{line}");
 }
 
-/// A daemon that went back to older settings would let callers in that were shut out; the
-/// others run on, and nothing but its own log shows it.
+/// A daemon that returns to older settings would admit callers whose access was revoked. The other
+/// daemons are not affected, and only its own log shows the change.
 #[test]
-fn a_version_that_falls_is_told() {
+fn a_version_decrease_is_found() {
     let log = "settings: version 0 is in force at the start, 5 ms\n\
                settings: version 4 is in force after 0, 9 ms\n\
                settings: version 3 is in force after 4, 12 ms\n\
--- a/crates/scenario/tests/scripts.rs
+++ b/crates/scenario/tests/scripts.rs
@@ -1,4 +1,4 @@
-//! Reading of scripts.
+//! Parsing of scripts.
 
 use rstest::rstest;
 use scenario::{script, sweep};
@@ -9,8 +9,8 @@
     word: &'static str,
 }
 
-/// A script with a slip would otherwise play half of its lines before it ends, and the
-/// writer would have to guess which line it was.
+/// Without an error that names the line, a script with a mistake would play some of its lines
+/// before it ends, and the author would have to guess which line is wrong.
 #[rstest]
 #[case::unknown_verb(Bad { text: "sleep 1\n\nslep 10", line: 3, word: "slep" })]
 #[case::missing_word(Bad { text: "# first\nkill", line: 2, word: "VM" })]
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn all_faults_of_a_script_are_told() {
+fn all_faults_of_a_script_are_returned() {
     assert_eq!(script::parse("a.scn", "one\nsleep 1\ntwo").unwrap_err().len(), 2);
 }
 
 #[test]
-fn every_script_of_the_project_reads() {
+fn every_script_of_the_project_parses() {
     let dir = concat!(env!("CARGO_MANIFEST_DIR"), "/../../scenarios");
     let mut paths = vec![std::path::PathBuf::from(dir)];
     while let Some(path) = paths.pop() {
@@ -42,12 +42,12 @@
         }
         let text = std::fs::read_to_string(&path).unwrap();
         let lines = script::parse(&path.display().to_string(), &text).unwrap();
-        assert!(!lines.is_empty(), "{} says nothing", path.display());
+        assert!(!lines.is_empty(), "{} has no lines", path.display());
     }
 }
 
 #[test]
-fn every_seed_of_a_sweep_reads() {
+fn every_seed_of_a_sweep_parses() {
     for seed in 0..300 {
         for text in [sweep::script(seed), sweep::not_run(seed)] {
             assert!(script::parse("sweep", &text).is_ok(), "{text}");
--- a/crates/scenario/tests/streams.rs
+++ b/crates/scenario/tests/streams.rs
@@ -1,16 +1,16 @@
-//! Reading of streams and refusals as callers meet them.
+//! Parsing of streams and refusals as callers receive them.
 
 use rstest::rstest;
 use scenario::caller::Problem;
 use scenario::{settings, sse};
 
-/// A network cuts a stream at any byte. A caller that read each piece by itself would drop
-/// tokens, and the verdict on the fleet would be wrong.
+/// A network may split a stream at any byte. A caller that parsed each piece separately would
+/// lose tokens, and the verdict on the fleet would be wrong.
 #[rstest]
 #[case(1)]
 #[case(3)]
 #[case(1000)]
-fn events_are_whole_however_they_are_cut(#[case] piece: usize) {
+fn events_are_complete_however_the_stream_is_split(#[case] piece: usize) {
     let text =
         b": alive\n\nid: r:1\r\ndata: {\"a\":1}\r\n\r\nevent: error\ndata: {}\n\ndata: [DONE]\n\n";
     let mut rdr = sse::Reader::default();
@@ -21,7 +21,7 @@
     assert_eq!(events[1].event.as_deref(), Some("error"));
 }
 
-/// A proxy page in place of a refusal must not count as "not run".
+/// An error page of a proxy instead of a refusal must not count as "not run".
 #[test]
 fn a_body_that_is_no_problem_has_no_outcome() {
     let problem = Problem::read(502, b"<html>bad gateway</html>");
