--- a/crates/fake/src/engine/cache.rs
+++ b/crates/fake/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache and its events, which come late and with gaps.
+//! The prefix cache and its events, which are delayed and have gaps.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,19 +8,19 @@
 
 use crate::model;
 
-/// Positions of a block; prefixes are cached in whole blocks.
-pub const BLOCK: usize = 16;
+/// Positions per block; prefixes are cached in whole blocks.
+pub const BLOCK_POSITIONS: usize = 16;
 
-/// Events kept for readers.
-const EVENTS: usize = 4096;
+/// Maximum number of events kept for readers.
+const MAX_EVENTS: usize = 4096;
 
-/// Events of an answer at most.
-const PAGE: usize = 1000;
+/// Maximum number of events in one answer.
+const MAX_PAGE_EVENTS: usize = 1000;
 
-/// One event in this many is never published.
+/// One in this many events is never published.
 const GAP_ONE_IN: u64 = 8;
 
-/// Prefixes by hash, the least recently used of which makes room.
+/// Prefixes by hash; the least recently used one is evicted when the cache is full.
 #[derive(Debug)]
 pub(crate) struct Cache {
     /// Sorted by hash.
@@ -42,29 +42,29 @@
         Cache { entries: Vec::new(), limit, uses: 0, events: VecDeque::new(), next: 0 }
     }
 
-    /// Positions at the start of `inputs` that are cached.
-    pub(crate) fn hit(&mut self, inputs: &[u64]) -> u32 {
+    /// Returns the number of positions at the start of `inputs` that are cached.
+    pub(crate) fn cached_positions(&mut self, inputs: &[u64]) -> u32 {
         let mut cached = 0;
-        for prefix in prefixes(inputs) {
+        for prefix in block_hashes(inputs) {
             self.uses += 1;
             match self.entries.binary_search_by_key(&prefix, |e| e.prefix) {
                 Ok(i) => self.entries[i].used = self.uses,
                 Err(_) => break,
             }
-            cached += BLOCK as u32;
+            cached += BLOCK_POSITIONS as u32;
         }
         cached
     }
 
     /// Caches every block of `inputs`.
     pub(crate) fn insert(&mut self, inputs: &[u64], now: Instant) {
-        for prefix in prefixes(inputs).take(self.limit) {
+        for prefix in block_hashes(inputs).take(self.limit) {
             self.uses += 1;
             let used = self.uses;
             match self.entries.binary_search_by_key(&prefix, |e| e.prefix) {
                 Ok(i) => self.entries[i].used = used,
                 Err(_) => {
-                    self.make_room(now);
+                    self.evict_if_full(now);
                     let i = self.entries.partition_point(|e| e.prefix < prefix);
                     self.entries.insert(i, Entry { prefix, used });
                     self.publish(prefix, true, now);
@@ -73,20 +73,20 @@
         }
     }
 
-    /// Forgets everything, as on loading other weights.
+    /// Evicts all entries, as when other weights are loaded.
     pub(crate) fn clear(&mut self, now: Instant) {
         for entry in std::mem::take(&mut self.entries) {
             self.publish(entry.prefix, false, now);
         }
     }
 
-    /// Events from number `from` that are older than `lag`.
+    /// Returns the events from number `from` on that are older than `lag`.
     pub(crate) fn events(&self, from: u64, lag: Duration, now: Instant) -> Vec<Event> {
-        let late = |e: &&(Instant, Event)| e.0 + lag <= now && e.1.number >= from;
-        self.events.iter().filter(late).take(PAGE).map(|e| e.1.clone()).collect()
+        let visible = |e: &&(Instant, Event)| e.0 + lag <= now && e.1.number >= from;
+        self.events.iter().filter(visible).take(MAX_PAGE_EVENTS).map(|e| e.1.clone()).collect()
     }
 
-    fn make_room(&mut self, now: Instant) {
+    fn evict_if_full(&mut self, now: Instant) {
         if self.entries.len() < self.limit {
             return;
         }
@@ -100,21 +100,21 @@
     fn publish(&mut self, prefix: u64, cached: bool, now: Instant) {
         let number = self.next;
         self.next += 1;
-        if model::prefix(&[number]).is_multiple_of(GAP_ONE_IN) {
+        if model::prefix_hash(&[number]).is_multiple_of(GAP_ONE_IN) {
             return;
         }
-        if self.events.len() >= EVENTS {
+        if self.events.len() >= MAX_EVENTS {
             self.events.pop_front();
         }
         self.events.push_back((now, Event { number, prefix, cached }));
     }
 }
 
-/// Hash of the first block, of the first two blocks, and so on.
-fn prefixes(inputs: &[u64]) -> impl Iterator<Item = u64> {
-    let blocks = inputs.chunks_exact(BLOCK);
+/// Returns the hash of the first block, of the first two blocks, and so on.
+fn block_hashes(inputs: &[u64]) -> impl Iterator<Item = u64> {
+    let blocks = inputs.chunks_exact(BLOCK_POSITIONS);
     blocks.scan(0, |hash, block| {
-        *hash = model::extend(*hash, block);
+        *hash = model::extend_hash(*hash, block);
         Some(*hash)
     })
 }
--- a/crates/fake/src/link.rs
+++ b/crates/fake/src/link.rs
@@ -1,7 +1,7 @@
-//! A relay of datagrams between VMs that cuts, delays, drops and doubles them.
+//! A relay of datagrams between VMs that cuts links and delays, drops and duplicates datagrams.
 //!
-//! Each process of the system binds its own loopback address, so a relay knows the
-//! source of a datagram by its IP.
+//! Each process of the system binds its own loopback address, so a relay identifies the
+//! source of a datagram by its IP address.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::{Arc, Mutex};
@@ -15,78 +15,79 @@
 mod relay;
 mod queue;
 
-/// Relays at most.
-const RELAYS: usize = 1000;
+/// Maximum number of relays.
+const MAX_RELAYS: usize = 1000;
 
-/// Faults in force at most.
-const FAULTS: usize = 10_000;
+/// Maximum number of active faults.
+const MAX_FAULTS: usize = 10_000;
 
-/// Command line of the link.
+/// Command-line options of the link.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Options {
-    /// Seed of the draws for loss and doubling.
+    /// Random seed for loss and duplication.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// A relay: what comes to `listen` goes on to `target`.
+/// A relay that forwards datagrams from `listen` to `target`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Link {
-    /// Address that datagrams are sent to.
+    /// Address on which the relay receives datagrams.
     pub listen: SocketAddr,
-    /// Address they are sent on to.
+    /// Address to which it forwards them.
     pub target: SocketAddr,
 }
 
-/// What happens to the datagrams between a source and a relay, both ways.
+/// A fault of the datagrams between a source and a relay, in both directions.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Fault {
-    /// IP of the source, an IP prefix that ends with a dot, or `*`.
+    /// IP address of the source, an address prefix that ends with a dot, or `*`.
     pub from: String,
-    /// Listening address or IP of the relay, an IP prefix that ends with a dot, or `*`.
+    /// Listening address or IP address of the relay or its target, an address prefix that ends with
+    /// a dot, or `*`.
     pub to: String,
-    /// Nothing is delivered.
+    /// Drops all datagrams.
     pub cut: bool,
-    /// Milliseconds each datagram is held.
+    /// Delay of each datagram, in milliseconds.
     pub delay_ms: u64,
-    /// Share of datagrams dropped, 0 to 1.
+    /// Share of the datagrams that are dropped, 0 to 1.
     pub loss: f64,
-    /// Share of datagrams sent twice, 0 to 1.
+    /// Share of the datagrams that are sent twice, 0 to 1.
     pub duplicate: f64,
-    /// Ends the fault of this `from` and `to`.
+    /// Removes the fault with this `from` and `to`.
     pub clear: bool,
-    /// Holds as well for what the process behind `to` sends through the relay of `from`.
+    /// Applies also to what the process behind `to` sends through the relay of `from`.
     pub mirror: bool,
 }
 
-/// What one relay did, both ways counted together.
+/// Counters of a relay, for both directions together.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Count {
-    /// Datagrams that came in.
+pub struct Counters {
+    /// Datagrams received.
     pub received: u64,
-    /// Datagrams sent on, doubles counted.
+    /// Datagrams forwarded, duplicates included.
     pub delivered: u64,
-    /// Datagrams dropped by a cut.
+    /// Datagrams dropped by a cut link.
     pub cut: u64,
-    /// Datagrams dropped by chance.
+    /// Datagrams dropped by random loss.
     pub lost: u64,
     /// Datagrams sent twice.
     pub doubled: u64,
-    /// Datagrams dropped since too many were held.
+    /// Datagrams dropped because the queue of delayed datagrams was full.
     pub overflow: u64,
 }
 
-/// A relay and what it did.
+/// A relay and its counters.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Book {
+pub struct RelayStats {
     /// The relay.
     pub link: Link,
-    /// What it did.
-    pub count: Count,
+    /// Its counters.
+    pub count: Counters,
 }
 
-/// Sum of the faults that hold for a datagram.
+/// Combined effect of the faults that apply to a datagram.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Effect {
     pub cut: bool,
@@ -95,7 +96,7 @@
     pub duplicate: f64,
 }
 
-/// Links and faults, shared by the relays.
+/// Relays and faults, shared by all relays.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     links: Vec<Link>,
@@ -103,12 +104,12 @@
 }
 
 impl Table {
-    /// Effect on what `source` sends through `link`, and on the answers.
+    /// Returns the effect on the datagrams that `source` sends through `link`, and on the answers.
     pub(crate) fn effect(&self, source: IpAddr, link: &Link) -> Effect {
         let holds = |f: &&Fault| {
-            let straight = matches(&f.from, source, None) && self.is_end(&f.to, link);
-            let back = f.mirror && self.is_end(&f.from, link) && self.is_source(&f.to, source);
-            straight || back
+            let forward = matches(&f.from, source, None) && self.is_end(&f.to, link);
+            let reverse = f.mirror && self.is_end(&f.from, link) && self.is_source(&f.to, source);
+            forward || reverse
         };
         self.faults.iter().filter(holds).fold(Effect::default(), |sum, f| Effect {
             cut: sum.cut || f.cut,
@@ -124,13 +125,13 @@
     }
 
     fn is_source(&self, pattern: &str, source: IpAddr) -> bool {
-        let own = |l: &&Link| l.target.ip() == source;
+        let of_source = |l: &&Link| l.target.ip() == source;
         matches(pattern, source, None)
-            || self.links.iter().filter(own).any(|l| self.is_end(pattern, l))
+            || self.links.iter().filter(of_source).any(|l| self.is_end(pattern, l))
     }
 }
 
-/// Serves a link on `listener`; the relays come by `POST /~fake/links`.
+/// Serves a link on `listener`; `POST /~fake/links` adds relays.
 pub fn start(listener: TcpListener, options: Options) -> std::io::Result<Server> {
     let table = Arc::new(Mutex::new(Table::default()));
     let relays = Arc::new(Mutex::new(Vec::new()));
@@ -148,23 +149,23 @@
     call: &Call,
 ) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
-        ("POST", ["~fake", "links"]) => add(table, relays, seed, call.json()?).await,
+        ("POST", ["~fake", "links"]) => add_relay(table, relays, seed, call.json()?).await,
         ("GET", ["~fake", "books"]) => {
-            let book = |r: &relay::Relay| Book { link: r.link.clone(), count: r.count() };
-            let books: Vec<Book> = serve::lock(relays).iter().map(book).collect();
-            Ok(Reply::json(200, &books))
+            let stats = |r: &relay::Relay| RelayStats { link: r.link.clone(), count: r.count() };
+            let stats: Vec<RelayStats> = serve::lock(relays).iter().map(stats).collect();
+            Ok(Reply::json(200, &stats))
         }
-        ("POST", ["~fake", "faults"]) => set(&mut serve::lock(table), call.json()?),
+        ("POST", ["~fake", "faults"]) => set_fault(&mut serve::lock(table), call.json()?),
         ("GET", ["~fake", "faults"]) => Ok(Reply::json(200, &serve::lock(table).faults)),
         ("DELETE", ["~fake", "faults"]) => {
             serve::lock(table).faults.clear();
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
-        _ => Err(Reply::refuse(404, "no such path")),
+        _ => Err(Reply::error(404, "no such path")),
     }
 }
 
-async fn add(
+async fn add_relay(
     table: &Arc<Mutex<Table>>,
     relays: &Arc<Mutex<Vec<relay::Relay>>>,
     seed: u64,
@@ -172,31 +173,31 @@
 ) -> Result<Reply, Reply> {
     match () {
         _ if !link.listen.ip().is_loopback() || !link.target.ip().is_loopback() => {
-            return Err(Reply::refuse(400, "only loopback addresses are relayed"));
+            return Err(Reply::error(400, "only loopback addresses are relayed"));
         }
-        _ if serve::lock(relays).len() >= RELAYS => {
-            return Err(Reply::refuse(507, "too many relays"));
+        _ if serve::lock(relays).len() >= MAX_RELAYS => {
+            return Err(Reply::error(507, "too many relays"));
         }
         _ => {}
     }
     let seed = seed.wrapping_add(serve::lock(relays).len() as u64);
     let relay = relay::start(link, table.clone(), seed)
         .await
-        .map_err(|e| Reply::refuse(409, &format!("could not listen: {e}")))?;
+        .map_err(|e| Reply::error(409, &format!("could not listen: {e}")))?;
     let link = relay.link.clone();
     serve::lock(table).links.push(link.clone());
     serve::lock(relays).push(relay);
     Ok(Reply::json(201, &link))
 }
 
-fn set(table: &mut Table, fault: Fault) -> Result<Reply, Reply> {
+fn set_fault(table: &mut Table, fault: Fault) -> Result<Reply, Reply> {
     table.faults.retain(|f| (&f.from, &f.to) != (&fault.from, &fault.to));
     match fault.clear {
-        true => Ok(Reply::done()),
-        false if table.faults.len() >= FAULTS => Err(Reply::refuse(507, "too many faults")),
+        true => Ok(Reply::ok()),
+        false if table.faults.len() >= MAX_FAULTS => Err(Reply::error(507, "too many faults")),
         false => {
             table.faults.push(fault);
-            Ok(Reply::done())
+            Ok(Reply::ok())
         }
     }
 }
--- a/crates/router/tests/queue.rs
+++ b/crates/router/tests/queue.rs
@@ -38,7 +38,8 @@
 /// Numbers of prompts whose answers have all [`LONG_TOKENS`] tokens. Others end early and free their
 /// slots while a test still needs a full fleet.
 fn long_prompts() -> impl Iterator<Item = usize> {
-    let answer = |n: usize| fake::model::straight("draft", 1, 4, &prompt(n), LONG_TOKENS as usize);
+    let answer =
+        |n: usize| fake::model::expected_answer("draft", 1, 4, &prompt(n), LONG_TOKENS as usize);
     (0..).filter(move |&n| answer(n).len() == LONG_TOKENS as usize)
 }
 
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -1,4 +1,4 @@
-//! Many requests at once, and the record of how they ended.
+//! Concurrent requests, and the record of their outcomes.
 
 use std::future::Future;
 use std::sync::{Arc, Mutex};
@@ -14,7 +14,7 @@
 use crate::script::{Drafts, Load, Orders, Span};
 use crate::write;
 
-/// Words that prompts are made of.
+/// Words of generated prompts.
 const WORDS: [&str; 16] = [
     "label",
     "vintage",
@@ -34,7 +34,7 @@
     "date",
 ];
 
-/// What the script's requests led to, shared by all senders.
+/// Outcomes of the script's requests, shared by all callers.
 #[derive(Debug, Clone, Default)]
 pub struct Record {
     inner: Arc<Mutex<Inner>>,
@@ -47,7 +47,7 @@
 }
 
 impl Record {
-    /// Adds a request that ended.
+    /// Adds the outcome of a request that ended now.
     pub fn push(&self, out: Outcome, began: Instant) {
         let Ok(mut inner) = self.inner.lock() else { return };
         if out.kind == Kind::Draft {
@@ -57,64 +57,64 @@
         inner.outcomes.push(out);
     }
 
-    /// Requests that ended so far.
+    /// Returns the outcomes of all requests that ended.
     pub fn outcomes(&self) -> Vec<Outcome> {
         self.inner.lock().map(|i| i.outcomes.clone()).unwrap_or_default()
     }
 
-    /// How many ended so far.
+    /// Returns the number of requests that ended.
     pub fn ended(&self) -> usize {
         self.inner.lock().map(|i| i.outcomes.len()).unwrap_or(0)
     }
 
-    /// From the first draft sent to the last one ended.
+    /// Returns the time from the start of the first draft to the end of the last one.
     pub fn drafting(&self) -> Duration {
         let inner = self.inner.lock().ok();
         inner.and_then(|i| i.drafting).map_or(Duration::ZERO, |(first, last)| last - first)
     }
 }
 
-/// Random numbers of one part of a script, the same in every run.
+/// Returns the random generator of one line of a script, with the same numbers in every run.
 pub fn random(seed: u64, part: u64) -> Pcg64 {
     Pcg64::seed_from_u64(seed.wrapping_mul(1 << 20).wrapping_add(part))
 }
 
-fn pick(rng: &mut impl Rng, span: Span) -> u32 {
+fn draw(rng: &mut impl Rng, span: Span) -> u32 {
     rng.random_range(span.low..=span.high)
 }
 
-/// A prompt whose first word is its own, so that no prefix is shared.
+/// Generates a prompt. Its first word is unique, so that prompts share no prefix.
 pub fn prompt(rng: &mut impl Rng, name: &str, words: u32) -> String {
     let more = (1..words).map(|_| WORDS[rng.random_range(0..WORDS.len())]);
     std::iter::once(name).chain(more).collect::<Vec<_>>().join(" ")
 }
 
-/// Jobs of a `drafts` line; `part` tells lines of one script apart.
+/// Returns the jobs of a `drafts` line; `part` numbers the line within its script.
 pub fn drafts(line: &Drafts, layers: u32, seed: u64, part: u64) -> Vec<draft::Job> {
     let mut rng = random(seed, part);
     let job = |n: usize| draft::Job {
-        prompt: prompt(&mut rng, &format!("draft-{part}-{n}"), pick_words(line, n)),
+        prompt: prompt(&mut rng, &format!("draft-{part}-{n}"), prompt_length(line, n)),
         max_tokens: 0,
         workspace: line.load.from_workspace + n % line.load.workspaces,
-        // Each workspace comes through all routers, as behind a balancer.
+        // Each workspace uses all routers, as behind a load balancer.
         router: n / line.load.workspaces,
         tries: line.load.tries,
         layers,
     };
     let mut jobs: Vec<draft::Job> = (0..line.load.count).map(job).collect();
     for job in &mut jobs {
-        job.max_tokens = pick(&mut rng, line.tokens);
+        job.max_tokens = draw(&mut rng, line.tokens);
     }
     jobs
 }
 
-/// Lengths of prompts run through the whole span in turn.
-fn pick_words(line: &Drafts, n: usize) -> u32 {
+/// Returns the length of a prompt. Consecutive prompts step through the whole span.
+fn prompt_length(line: &Drafts, n: usize) -> u32 {
     let span = line.prompt_words;
     span.low + (n as u32 * 7) % (span.high - span.low + 1)
 }
 
-/// Jobs of a `lookups` or `orders` line.
+/// Returns the jobs of a `lookups` or `orders` line.
 pub fn calls(load: &Load, name: &str, part: u64) -> Vec<write::Job> {
     let job = |n: usize| write::Job {
         key: format!("{name}-{part}-{n}"),
@@ -126,8 +126,8 @@
     (0..load.count).map(job).collect()
 }
 
-/// Runs one future a job, so many at once, each as a task of its own.
-async fn at_once<J, F>(jobs: Vec<J>, load: &Load, record: Record, run: impl Fn(J) -> F)
+/// Runs a future per job as a separate task, with limited concurrency.
+async fn run_concurrently<J, F>(jobs: Vec<J>, load: &Load, record: Record, run: impl Fn(J) -> F)
 where
     F: Future<Output = Outcome> + Send + 'static,
 {
@@ -152,7 +152,7 @@
         let caller = caller.clone();
         async move { draft::run(&caller, &job).await }
     };
-    at_once(jobs, &load, record, run).await;
+    run_concurrently(jobs, &load, record, run).await;
 }
 
 /// Plays a `lookups` line.
@@ -161,7 +161,7 @@
         let caller = caller.clone();
         async move { write::run(&caller, Kind::Lookup, &job).await }
     };
-    at_once(calls(&load, "lookup", part), &load, record, run).await;
+    run_concurrently(calls(&load, "lookup", part), &load, record, run).await;
 }
 
 /// Plays an `orders` line.
@@ -175,21 +175,21 @@
         let caller = caller.clone();
         async move {
             match twice {
-                true => both(&caller, &job).await,
+                true => send_twice(&caller, &job).await,
                 false => write::run(&caller, Kind::Order, &job).await,
             }
         }
     };
-    at_once(jobs, &line.load, record, run).await;
+    run_concurrently(jobs, &line.load, record, run).await;
 }
 
-/// The same order through two routers at once: both callers must get one answer.
-async fn both(caller: &Caller, job: &write::Job) -> Outcome {
+/// Sends an order concurrently through two routers: both callers must get the same answer.
+async fn send_twice(caller: &Caller, job: &write::Job) -> Outcome {
     let other = write::Job { router: job.router + 1, ..job.clone() };
     let (mut a, b) =
         tokio::join!(write::run(caller, Kind::Order, job), write::run(caller, Kind::Order, &other));
-    a.doubts += b.doubts;
-    a.comebacks += b.comebacks;
+    a.unknowns += b.unknowns;
+    a.retries += b.retries;
     a.not_run.extend(b.not_run);
     match (&a.verdict, &b.verdict) {
         (Verdict::Right, Verdict::Right) if a.answer != b.answer => {
--- a/crates/scenario/src/player.rs
+++ b/crates/scenario/src/player.rs
@@ -1,4 +1,4 @@
-//! Plays a script line by line and judges the end.
+//! Plays a script line by line and checks the invariants at its end.
 
 mod act;
 mod judge;
@@ -10,7 +10,7 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-use crate::binary::Place;
+use crate::binary::Programs;
 use crate::caller::Caller;
 use crate::fleet::Fleet;
 use crate::load::{self, Record};
@@ -21,14 +21,14 @@
 use crate::single;
 use crate::watch::Watch;
 
-/// Pause between two looks at something the script waits for.
-const LOOK: Duration = Duration::from_millis(20);
-/// Longest wait for something the script waits for.
-pub const WAIT: Duration = Duration::from_secs(90);
+/// Interval between two checks of a condition for which the script waits.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest time that the script waits for a condition.
+pub const MAX_WAIT: Duration = Duration::from_secs(90);
 
 /// Plays one script.
 pub struct Player {
-    place: Place,
+    programs: Programs,
     dir: PathBuf,
     seed: u64,
     part: u64,
@@ -36,12 +36,12 @@
     caller: Caller,
     record: Record,
     background: Vec<JoinHandle<()>>,
-    balancer: Option<JoinHandle<()>>,
-    /// Single orders in the background; the number of the line tells them apart.
+    readiness_probe: Option<JoinHandle<()>>,
+    /// Background tasks of `order` lines.
     pending: Vec<JoinHandle<Result<(), String>>>,
-    /// Records of the stream of settings as seen so far; the log lets them expire.
+    /// Records of the stream of settings read so far; the log may have expired them since.
     settings: Vec<cloud::log::Record>,
-    /// Earlier `orders` lines with their part.
+    /// Earlier `orders` lines with their numbers.
     orders: Vec<(u64, script::Orders)>,
     watches: Vec<Watch>,
     faults: Vec<recovery::Fault>,
@@ -50,20 +50,20 @@
     failures: Vec<String>,
 }
 
-/// How a script ended.
+/// Result of a script.
 #[derive(Debug)]
 pub struct End {
     /// The table.
     pub table: String,
-    /// Everything that did not hold; empty when the script passed.
+    /// Failed checks; empty if the script passed.
     pub failures: Vec<String>,
 }
 
 impl Player {
-    /// A player that keeps its files in `dir`.
-    pub fn new(place: Place, dir: PathBuf, seed: u64) -> Player {
+    /// Creates a player that writes its files to `dir`.
+    pub fn new(programs: Programs, dir: PathBuf, seed: u64) -> Player {
         Player {
-            place,
+            programs,
             dir,
             seed,
             part: 0,
@@ -71,7 +71,7 @@
             caller: Caller::new(Vec::new()),
             record: Record::default(),
             background: Vec::new(),
-            balancer: None,
+            readiness_probe: None,
             pending: Vec::new(),
             settings: Vec::new(),
             orders: Vec::new(),
@@ -83,12 +83,12 @@
         }
     }
 
-    /// Plays all lines, then checks what must hold at the end of every script.
+    /// Plays all lines, then checks the invariants of every script.
     pub async fn play(mut self, lines: &[Line]) -> End {
         for line in lines {
             if let Err(reason) = self.line(line).await {
                 self.failures.push(line.fault(reason).to_string());
-                // Later lines build on this one; only statements may fail and let the rest go on.
+                // Later lines depend on this one; the script continues only after a failed `expect`.
                 if !matches!(line.verb, Verb::Expect { .. }) {
                     break;
                 }
@@ -149,9 +149,9 @@
             return Err("the fleet is already started".to_string());
         }
         let began = Instant::now();
-        let fleet = Fleet::start(plan.clone(), self.place.clone(), self.dir.clone()).await?;
+        let fleet = Fleet::start(plan.clone(), self.programs.clone(), self.dir.clone()).await?;
         self.caller = Caller::new(fleet.routers());
-        self.balancer = Some(tokio::spawn(self.caller.clone().balance()));
+        self.readiness_probe = Some(tokio::spawn(self.caller.clone().probe_readiness()));
         let n = fleet.processes.len();
         self.notes.push(format!("{n} processes ready after {} ms", began.elapsed().as_millis()));
         self.fleet = Some(Arc::new(Mutex::new(fleet)));
@@ -171,15 +171,18 @@
     async fn wait_ended(&self, ended: usize) -> Result<(), String> {
         let began = Instant::now();
         while self.record.ended() < ended {
-            if began.elapsed() > WAIT {
-                return Err(format!("{} of {ended} ended within {WAIT:?}", self.record.ended()));
+            if began.elapsed() > MAX_WAIT {
+                return Err(format!(
+                    "{} of {ended} ended within {MAX_WAIT:?}",
+                    self.record.ended()
+                ));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Verbs that send requests; `None` for others.
+    /// Plays a verb that sends requests; `None` for other verbs.
     async fn send(&mut self, verb: &Verb) -> Option<Result<(), String>> {
         self.part += 1;
         let (seed, part) = (self.seed, self.part);
@@ -240,7 +243,7 @@
 
 impl Drop for Player {
     fn drop(&mut self) {
-        self.background.iter().chain(&self.balancer).for_each(JoinHandle::abort);
+        self.background.iter().chain(&self.readiness_probe).for_each(JoinHandle::abort);
         self.pending.iter().for_each(JoinHandle::abort);
     }
 }
--- a/crates/scenario/src/player/judge.rs
+++ b/crates/scenario/src/player/judge.rs
@@ -1,11 +1,11 @@
-//! Statements, the invariants at the end, and the table.
+//! Checks of `expect`, the invariants at the end, and the table.
 
 use std::time::Duration;
 
 use super::Player;
-use crate::books;
 use crate::expect::{self, Facts};
 use crate::fleet::Fleet;
+use crate::history;
 use crate::outcome::{Outcome, Verdict};
 use crate::publish;
 use crate::recovery;
@@ -16,8 +16,8 @@
 use crate::trace;
 use crate::watch::{self};
 
-/// Reasons printed at most.
-const REASONS: usize = 5;
+/// Maximum number of reasons printed.
+const MAX_REASONS: usize = 5;
 
 impl Player {
     pub(super) async fn expect(&mut self, what: &Expect) -> Result<(), String> {
@@ -30,8 +30,8 @@
             }
             Expect::Left { vm, within } => {
                 let found = self.watches.iter().rev().find_map(|w| Some((w, w.last_work(vm)?)));
-                let (watch, last) = found.ok_or(format!("the script has not said 'leave {vm}'"))?;
-                if !watch.worked() {
+                let (watch, last) = found.ok_or(format!("the script has no line 'leave {vm}'"))?;
+                if !watch.had_work() {
                     return Err(format!("{vm} had no work before it left"));
                 }
                 self.notes
@@ -39,48 +39,49 @@
                 let holds = last <= Duration::from_millis(*within);
                 return if holds { Ok(()) } else { Err(format!("new work after {last:?}")) };
             }
-            Expect::Works { vm } => return watch::works(&shared, vm).await,
+            Expect::Works { vm } => return watch::wait_for_work(&shared, vm).await,
             _ => {}
         }
         let fleet = &mut *shared.lock().await;
-        let books = fleet.books().await?;
+        let history = fleet.history().await?;
         let outcomes = self.record.outcomes();
         let facts = Facts {
             outcomes: &outcomes,
-            books: &books,
+            history: &history,
             layers: settings::layers(&fleet.plan),
             crashes: watch::crashes(fleet),
         };
         if matches!(what, Expect::Crashes { .. }) {
             self.notes.push(format!("{} backend servers crashed", facts.crashes));
         }
-        expect::judge(what, &facts).unwrap_or_else(|| Err("can't be judged".to_string()))
+        expect::judge(what, &facts)
+            .unwrap_or_else(|| Err("the statement can't be checked".to_string()))
     }
 
-    /// What must hold at the end of every script.
+    /// Checks the invariants at the end of every script.
     pub(super) async fn end(&mut self) -> Result<(), String> {
         self.join().await?;
         let Some(shared) = self.fleet.clone() else { return Ok(()) };
         let fleet = &mut *shared.lock().await;
         fleet.thaw_all()?;
-        for name in fleet.dead() {
-            self.failures.push(format!("{name} should live and ended"));
+        for name in fleet.ended_unexpectedly() {
+            self.failures.push(format!("{name} ended unexpectedly"));
         }
         let outcomes = self.record.outcomes();
-        let books = fleet.books().await?;
-        let breaches = [
-            books::answers(&outcomes),
-            books::doubled(&books.runs),
-            books::order(&books.engines),
-            books::run_all_the_same(&outcomes, &books),
-            books::missing(&outcomes, &books.runs),
+        let history = fleet.history().await?;
+        let violations = [
+            history::bad_answers(&outcomes),
+            history::duplicate_runs(&history.runs),
+            history::position_order(&history.engines),
+            history::ran_despite_not_run(&outcomes, &history),
+            history::lost_orders(&outcomes, &history.runs),
         ];
-        self.failures.extend(breaches.concat().iter().map(|b| b.to_string()));
-        self.failures.extend(trace::fell(&self.applied(fleet)));
+        self.failures.extend(violations.concat().iter().map(|b| b.to_string()));
+        self.failures.extend(trace::version_decreases(&self.applied(fleet)));
         Ok(())
     }
 
-    /// The versions that all daemons had in force since they started.
+    /// Returns the versions that all daemons had in force since their start.
     fn applied(&self, fleet: &Fleet) -> Vec<trace::Applied> {
         let names: Vec<String> = fleet.vms.iter().map(|vm| vm.name.clone()).collect();
         trace::read_all(&self.dir, &names)
@@ -89,7 +90,7 @@
     pub(super) async fn table(&self) -> Result<String, String> {
         let shared = self.fleet()?;
         let fleet = &mut *shared.lock().await;
-        let books = fleet.books().await?;
+        let history = fleet.history().await?;
         let outcomes = self.record.outcomes();
         let mut notes = self.notes.clone();
         notes.extend(repeat::line(&outcomes, &fleet.platform.log).await);
@@ -101,17 +102,17 @@
         Ok(table::render(&Figures {
             plan: &fleet.plan,
             outcomes: &outcomes,
-            books: &books,
+            history: &history,
             drafting: self.record.drafting(),
             notes: &notes,
         }))
     }
 }
 
-/// Why requests ended without their answer, each reason once with its count.
+/// Returns the reasons for which requests ended without an answer, with their counts.
 fn reasons(outcomes: &[Outcome]) -> Vec<String> {
     let mut counted: Vec<(&str, usize)> = Vec::new();
-    for out in outcomes.iter().filter(|o| !o.judged) {
+    for out in outcomes.iter().filter(|o| !o.judged_by_script) {
         let why = match &out.verdict {
             Verdict::NotRun(why) | Verdict::Refused(why) | Verdict::Unknown(why) => why,
             _ => continue,
@@ -121,5 +122,5 @@
             None => counted.push((why, 1)),
         }
     }
-    counted.iter().take(REASONS).map(|(why, n)| format!("{n} times: {why}")).collect()
+    counted.iter().take(MAX_REASONS).map(|(why, n)| format!("{n} times: {why}")).collect()
 }
--- a/crates/scenario/src/publish.rs
+++ b/crates/scenario/src/publish.rs
@@ -1,4 +1,4 @@
-//! Publishing settings, also by two operators at once, and waiting for them to be in force.
+//! Publishing settings, also by two operators concurrently, and waiting until they are in force.
 
 use std::time::{Duration, Instant};
 
@@ -6,15 +6,19 @@
 use crate::process::Wanted;
 use crate::settings;
 
-/// Pause between two looks at the versions in force.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks of the versions in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Publishes a change of one default.
-pub async fn one(fleet: &mut Fleet, change: &str, fails: bool) -> Result<String, String> {
+/// Publishes a change of one default; `fails` means that the publication must fail.
+pub async fn publish_default(
+    fleet: &mut Fleet,
+    change: &str,
+    fails: bool,
+) -> Result<String, String> {
     let text = settings::with_default(&fleet.text, change);
     let done = fleet.publish("operator-1", &text, &format!("set {change}"), None).await;
     match (done, fails) {
-        (Ok(_), true) => Err(format!("publishing {change} went through")),
+        (Ok(_), true) => Err(format!("publishing {change} succeeded")),
         (Err(e), true) => Ok(format!("publishing {change} was refused: {e}")),
         (Err(e), false) => Err(e),
         (Ok(_), false) => {
@@ -24,8 +28,8 @@
     }
 }
 
-/// Two operators publish from the same version at once: one must win and the other be told.
-pub async fn racing(
+/// Lets two operators publish concurrently from the same version: exactly one must succeed.
+pub async fn publish_concurrently(
     fleet: &mut Fleet,
     base: u64,
     first: &str,
@@ -40,26 +44,26 @@
     let (won, text) = match (&a, &b) {
         (Ok(_), Err(_)) => (first, one),
         (Err(_), Ok(_)) => (second, two),
-        (Ok(_), Ok(_)) => return Err("both operators were told that they won".to_string()),
-        (Err(a), Err(b)) => return Err(format!("both operators lost: {a}; {b}")),
+        (Ok(_), Ok(_)) => return Err("both operators succeeded".to_string()),
+        (Err(a), Err(b)) => return Err(format!("both operators failed: {a}; {b}")),
     };
     fleet.text = text;
-    Ok(format!("of two operators the one with {won} won"))
+    Ok(format!("of two operators the one with {won} succeeded"))
 }
 
-/// The version in force on each daemon that lives and is not frozen; 0 when it does not tell.
+/// Returns the version in force on each running daemon that is not frozen; 0 if it is unknown.
 pub async fn versions(fleet: &mut Fleet) -> Result<Vec<(String, u64)>, String> {
-    let told = fleet.versions().await?;
-    let mut living = |name: &str| {
+    let reported = fleet.versions().await?;
+    let mut is_running = |name: &str| {
         let process = fleet.process(name);
-        process.is_ok_and(|p| p.wanted == Wanted::Running && p.lives())
+        process.is_ok_and(|p| p.wanted == Wanted::Running && p.is_running())
     };
-    let told = told.into_iter().filter(|(name, _)| living(name));
-    Ok(told.map(|(name, version)| (name, version.unwrap_or(0))).collect())
+    let reported = reported.into_iter().filter(|(name, _)| is_running(name));
+    Ok(reported.map(|(name, version)| (name, version.unwrap_or(0))).collect())
 }
 
-/// Waits until all living daemons have one version, higher than `above`.
-pub async fn wait(
+/// Waits until all running daemons have the same version in force, higher than `above`.
+pub async fn wait_in_force(
     fleet: &mut Fleet,
     above: u64,
     within: Duration,
@@ -72,7 +76,7 @@
         match low == high && low > above {
             true => return Ok((low, began.elapsed())),
             false if began.elapsed() > within => return Err(format!("versions: {versions:?}")),
-            false => tokio::time::sleep(LOOK).await,
+            false => tokio::time::sleep(POLL_INTERVAL).await,
         }
     }
 }
--- a/crates/scenario/src/usage.rs
+++ b/crates/scenario/src/usage.rs
@@ -1,26 +1,26 @@
-//! What the daemons cost over a time: processor, memory, bytes of control.
+//! Resource usage of the daemons over a period: processor, memory, bytes of control traffic.
 
 use std::time::Duration;
 
-use crate::fleet::{Backend, CALL, Fleet, Vm};
+use crate::fleet::{Backend, CALL_TIMEOUT, Fleet, Vm};
 
-/// Clock ticks a second in `/proc/PID/stat`, as Linux shows them to processes.
-const TICKS: f64 = 100.0;
+/// Clock ticks a second in `/proc/PID/stat` on Linux.
+const TICKS_PER_S: f64 = 100.0;
 
-/// A reading of one daemon.
+/// Usage of a daemon: totals, or amounts per second.
 #[derive(Debug, Clone, Copy, Default)]
 struct Reading {
-    /// Seconds of processor time.
+    /// Processor time, in seconds.
     cpu: f64,
-    /// Memory in use, in MB.
+    /// Resident memory, in MB.
     memory: f64,
-    /// Bytes on links, both ways.
+    /// Bytes on links, in both directions.
     link: f64,
-    /// Bytes of HTTP towards platform and backend server, both ways.
+    /// Bytes of HTTP to and from platform and backend server.
     http: f64,
 }
 
-/// Waits for `time` and tells for each role the mean of its daemons: a line each.
+/// Measures for `time` and returns a line per role with the mean of its daemons.
 pub async fn measure(fleet: &mut Fleet, time: Duration) -> Result<Vec<String>, String> {
     let vms = fleet.vms.clone();
     let mut before = Vec::new();
@@ -31,12 +31,12 @@
     let mut spent = Vec::new();
     for (vm, old) in vms.iter().zip(before) {
         let new = read(fleet, vm).await?;
-        let a_second = |old: f64, new: f64| (new - old) / time.as_secs_f64();
+        let per_second = |old: f64, new: f64| (new - old) / time.as_secs_f64();
         let reading = Reading {
-            cpu: a_second(old.cpu, new.cpu),
+            cpu: per_second(old.cpu, new.cpu),
             memory: new.memory,
-            link: a_second(old.link, new.link),
-            http: a_second(old.http, new.http),
+            link: per_second(old.link, new.link),
+            http: per_second(old.http, new.http),
         };
         spent.push((role(vm), reading));
     }
@@ -71,7 +71,7 @@
 async fn read(fleet: &mut Fleet, vm: &Vm) -> Result<Reading, String> {
     let id = fleet.process(&vm.name)?.id().ok_or(format!("{} does not run", vm.name))?;
     let stat = std::fs::read_to_string(format!("/proc/{id}/stat")).map_err(|e| e.to_string())?;
-    // Fields 14 and 15, counted from 1; the name in field 2 may hold spaces.
+    // Fields 14 and 15, counted from 1; the name in field 2 may contain spaces.
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |i: usize| fields.get(i - 3).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
     let status =
@@ -79,7 +79,7 @@
     let rss = status.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or("");
     let rss = rss.split_whitespace().next().and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
 
-    let http = rest::Client::new(&vm.http(), CALL);
+    let http = rest::Client::new(&vm.http(), CALL_TIMEOUT);
     let page = http.send("GET", "/metrics", &[], Default::default()).await;
     let page = page.map_err(|e| e.to_string())?;
     let text = String::from_utf8_lossy(&page.body).into_owned();
@@ -88,7 +88,7 @@
         lines.filter_map(|l| l.rsplit(' ').next()?.parse::<f64>().ok()).sum()
     };
     Ok(Reading {
-        cpu: (ticks(14) + ticks(15)) / TICKS,
+        cpu: (ticks(14) + ticks(15)) / TICKS_PER_S,
         memory: rss / 1024.0,
         link: sum("hyssop_link_bytes"),
         http: sum("hyssop_http_bytes"),
--- a/crates/scenario/src/watch.rs
+++ b/crates/scenario/src/watch.rs
@@ -1,4 +1,4 @@
-//! What goes on beside a script: supervision of backend servers, and watches on new work.
+//! Background tasks of a script: supervision of backend servers, and monitoring of new work.
 
 use std::sync::{Arc, Mutex as Lock};
 use std::time::{Duration, Instant};
@@ -6,21 +6,21 @@
 use tokio::sync::Mutex;
 use tokio::task::JoinHandle;
 
-use crate::books;
 use crate::fleet::{Backend, Fleet, Vm};
-use crate::player::WAIT;
+use crate::history;
+use crate::player::MAX_WAIT;
 use crate::process::Wanted;
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A task beside the script; it ends with this value.
+/// A background task; dropping this value aborts it.
 #[derive(Debug)]
 pub struct Watch {
     vm: String,
     began: Instant,
     last: Arc<Lock<Instant>>,
-    /// Pieces of work before the watch began.
+    /// Amount of work before the task started.
     before: Arc<Lock<u64>>,
     task: JoinHandle<()>,
 }
@@ -32,12 +32,12 @@
 }
 
 impl Watch {
-    /// Restarts backend servers that end by themselves.
+    /// Starts a task that restarts backend servers that end unexpectedly.
     pub fn supervise(fleet: Arc<Mutex<Fleet>>, after: Duration) -> Watch {
         let task = tokio::spawn(async move {
             loop {
-                tokio::time::sleep(after.max(LOOK)).await;
-                revive(&mut *fleet.lock().await).await;
+                tokio::time::sleep(after.max(POLL_INTERVAL)).await;
+                restart_ended(&mut *fleet.lock().await).await;
             }
         });
         let now = Instant::now();
@@ -50,63 +50,64 @@
         }
     }
 
-    /// Notes when the engine of a VM opens a session, or its service takes a call, from now on.
+    /// Starts a task that records when the engine of a VM last opened a session, or its service
+    /// last accepted a call.
     pub fn leave(vm: &Vm) -> Watch {
         let began = Instant::now();
         let last = Arc::new(Lock::new(began));
-        let (vm_seen, seen) = (vm.clone(), last.clone());
+        let (watched_vm, last_seen) = (vm.clone(), last.clone());
         let before = Arc::<Lock<u64>>::default();
         let first = before.clone();
         let task = tokio::spawn(async move {
             let mut count = None;
             loop {
-                if let Ok(works) = works_begun(&vm_seen).await {
-                    if count.is_some_and(|n| works > n)
-                        && let Ok(mut last) = seen.lock()
+                if let Ok(work) = count_work(&watched_vm).await {
+                    if count.is_some_and(|n| work > n)
+                        && let Ok(mut last) = last_seen.lock()
                     {
                         *last = Instant::now();
                     }
                     if count.is_none()
                         && let Ok(mut first) = first.lock()
                     {
-                        *first = works;
+                        *first = work;
                     }
-                    count = Some(works);
+                    count = Some(work);
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         });
         Watch { vm: vm.name.clone(), began, last, before, task }
     }
 
-    /// True when the VM had work before the watch began. Without any, its last new work
-    /// would come after 0 ms whatever the routers do.
-    pub fn worked(&self) -> bool {
+    /// Returns true if the VM had work before the task started. Otherwise its last new work
+    /// would be reported after 0 ms whatever the routers do.
+    pub fn had_work(&self) -> bool {
         self.before.lock().is_ok_and(|n| *n > 0)
     }
 
-    /// From `leave` to the last new work of this VM.
+    /// Returns the time from `leave` to the last new work of this VM.
     pub fn last_work(&self, vm: &str) -> Option<Duration> {
         let last = *self.last.lock().ok()?;
         (self.vm == vm).then(|| last - self.began)
     }
 }
 
-/// Pieces of work that the backend server of a VM has begun so far.
-async fn works_begun(vm: &Vm) -> Result<u64, rest::Error> {
+/// Returns the number of sessions or calls that the backend server of a VM has started.
+async fn count_work(vm: &Vm) -> Result<u64, rest::Error> {
     match vm.backend {
         Backend::Engine(..) => {
-            let book = books::engine(&vm.backend_http(), &vm.name).await?;
-            Ok(book.sessions.len() as u64)
+            let history = history::engine(&vm.backend_http(), &vm.name).await?;
+            Ok(history.sessions.len() as u64)
         }
-        _ => books::taken(&vm.backend_http()).await,
+        _ => history::calls_taken(&vm.backend_http()).await,
     }
 }
 
-async fn revive(fleet: &mut Fleet) {
+async fn restart_ended(fleet: &mut Fleet) {
     for process in fleet.processes.iter_mut().filter(|p| p.name.ends_with(".backend")) {
         if process.wanted == Wanted::Running
-            && !process.lives()
+            && !process.is_running()
             && process.start().is_ok()
             && let Err(e) = process.ready().await
         {
@@ -115,13 +116,13 @@
     }
 }
 
-/// Backend servers that ended by themselves so far.
+/// Returns the number of unexpected exits of backend servers.
 pub fn crashes(fleet: &mut Fleet) -> usize {
     let backends = fleet.processes.iter_mut().filter(|p| p.name.ends_with(".backend"));
     backends
         .map(|p| {
             if p.wanted == Wanted::Running {
-                p.lives();
+                p.is_running();
             }
             p.crashes
         })
@@ -129,18 +130,18 @@
 }
 
 /// Waits until the engine of a VM has opened a session.
-pub async fn works(fleet: &Arc<Mutex<Fleet>>, vm: &str) -> Result<(), String> {
+pub async fn wait_for_work(fleet: &Arc<Mutex<Fleet>>, vm: &str) -> Result<(), String> {
     let vm = fleet.lock().await.vm(vm)?;
     if !matches!(vm.backend, Backend::Engine(..)) {
         return Err(format!("{} has no engine", vm.name));
     }
     let began = Instant::now();
-    while began.elapsed() < WAIT {
-        let book = books::engine(&vm.backend_http(), &vm.name).await;
-        if book.is_ok_and(|b| !b.sessions.is_empty()) {
+    while began.elapsed() < MAX_WAIT {
+        let history = history::engine(&vm.backend_http(), &vm.name).await;
+        if history.is_ok_and(|b| !b.sessions.is_empty()) {
             return Ok(());
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    Err(format!("{} ran nothing within {WAIT:?}", vm.name))
+    Err(format!("{} ran nothing within {MAX_WAIT:?}", vm.name))
 }
--- a/crates/scenario/src/write.rs
+++ b/crates/scenario/src/write.rs
@@ -4,51 +4,51 @@
 
 use bytes::Bytes;
 
-use crate::caller::{Caller, PATIENCE, PAUSE, Problem};
+use crate::caller::{ANSWER_TIMEOUT, Caller, MIN_PAUSE, Problem};
 use crate::outcome::{Kind, Outcome, Verdict};
 use crate::settings;
 
-/// A caller gives up on a call after this.
-pub const GIVE_UP: Duration = Duration::from_secs(60);
+/// Time after which a caller starts no further attempt of a call.
+pub const MAX_DURATION: Duration = Duration::from_secs(60);
 
-/// A call of the plain service.
+/// A call to the plain service.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Idempotency key of an order; the id looked up otherwise.
+    /// Idempotency key of an order, or the id of a look-up.
     pub key: String,
     /// Body of an order.
     pub body: String,
     /// Workspace, from 1.
     pub workspace: usize,
-    /// Router it starts with; any number.
+    /// Number of the first router; taken modulo the number of routers.
     pub router: usize,
-    /// Times it may come back.
+    /// Maximum number of retries.
     pub tries: u32,
 }
 
-/// What one call brought.
+/// The reply to a call.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Id of this sending, or empty.
+    /// Request id of this attempt, or empty.
     pub request: String,
-    /// It was a stored answer.
+    /// True if it is a stored answer.
     pub replayed: bool,
     /// Body.
     pub body: Vec<u8>,
-    /// The refusal, when it is one by the fleet.
+    /// The refusal, if the fleet refused the call.
     pub problem: Option<Problem>,
 }
 
-/// One call through one router.
+/// Sends a call once, through one router.
 pub async fn call(
     caller: &Caller,
     kind: Kind,
     job: &Job,
     router: usize,
 ) -> Result<Reply, rest::Error> {
-    let http = rest::Client::new(caller.router(router), PATIENCE);
+    let http = rest::Client::new(caller.router(router), ANSWER_TIMEOUT);
     let bearer = format!("Bearer {}", settings::key(job.workspace));
     let mut headers = vec![("authorization".to_string(), bearer)];
     let (method, path) = match kind {
@@ -76,20 +76,20 @@
     })
 }
 
-/// Calls until there is a last word.
+/// Sends a call and retries it until its outcome is final.
 pub async fn run(caller: &Caller, kind: Kind, job: &Job) -> Outcome {
     let mut out = Outcome::new(kind, &job.key);
     out.workspace = job.workspace;
     let began = Instant::now();
     let mut why = String::new();
     for turn in 0..=job.tries {
-        if began.elapsed() > GIVE_UP {
+        if began.elapsed() > MAX_DURATION {
             break;
         }
         let sent = Instant::now();
         let reply = call(caller, kind, job, job.router + turn as usize).await;
-        out.took = Some(sent.elapsed());
-        let pause = match next(kind, reply, &mut out) {
+        out.latency = Some(sent.elapsed());
+        let pause = match judge_reply(kind, reply, &mut out) {
             Ok(verdict) => {
                 out.verdict = verdict;
                 return out;
@@ -99,18 +99,18 @@
                 pause
             }
         };
-        out.comebacks += 1;
+        out.retries += 1;
         tokio::time::sleep(pause).await;
     }
-    out.verdict = match out.doubts {
+    out.verdict = match out.unknowns {
         0 => Verdict::NotRun(why),
         _ => Verdict::Unknown(why),
     };
     out
 }
 
-/// The last word, or the time to wait before coming back and why.
-fn next(
+/// Returns the final verdict, or the time to wait before a retry and its reason.
+fn judge_reply(
     kind: Kind,
     reply: Result<Reply, rest::Error>,
     out: &mut Outcome,
@@ -118,21 +118,21 @@
     let reply = match reply {
         Ok(reply) => reply,
         Err(e) => {
-            // The same key makes the repeat of an order harmless.
-            out.doubts += u32::from(!e.unsent());
-            return Err((PAUSE, e.to_string()));
+            // The idempotency key makes it safe to retry an order.
+            out.unknowns += u32::from(!e.unsent());
+            return Err((MIN_PAUSE, e.to_string()));
         }
     };
-    let Some(problem) = reply.problem else { return Ok(answered(kind, reply, out)) };
+    let Some(problem) = reply.problem else { return Ok(judge_answer(kind, reply, out)) };
     let line = problem.line();
-    out.told.push(format!("{} at {}", problem.title, problem.step));
+    out.refusals.push(format!("{} at {}", problem.title, problem.step));
     match (problem.outcome.as_str(), problem.pause()) {
         ("not-run", pause) => {
             out.not_run.push(reply.request);
             pause.map_or(Ok(Verdict::NotRun(line.clone())), |pause| Err((pause, line)))
         }
         ("unknown", pause) => {
-            out.doubts += 1;
+            out.unknowns += 1;
             pause.map_or(Ok(Verdict::Unknown(line.clone())), |pause| Err((pause, line)))
         }
         (_, Some(pause)) => Err((pause, line)),
@@ -140,11 +140,11 @@
     }
 }
 
-fn answered(kind: Kind, reply: Reply, out: &mut Outcome) -> Verdict {
+fn judge_answer(kind: Kind, reply: Reply, out: &mut Outcome) -> Verdict {
     let status = reply.status;
     let right = match kind {
         Kind::Order => (200..300).contains(&status),
-        // Nobody has filed what a look-up asks for, so the service itself may say 404.
+        // No record exists for the id of a look-up, so the service itself may answer 404.
         _ => status == 200 || status == 404,
     };
     out.answer = Some(reply.body);
