--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -4,7 +4,7 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the VM started, including the time in which it was suspended.
+/// Returns the time since the VM started, including the time in which it was suspended.
 pub fn boot() -> Duration {
     match clock_gettime(ClockId::CLOCK_BOOTTIME) {
         Ok(time) => Duration::from(time),
@@ -15,7 +15,7 @@
     }
 }
 
-/// Unix time by the wall clock, which may jump.
+/// Returns the Unix time by the wall clock, which may jump.
 pub fn wall() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -58,15 +58,15 @@
 
     /// Reads the complete body. `None` if the connection breaks, the body is too long, or `until` passes.
     pub async fn collect(mut self, until: Instant) -> Option<(Response<()>, Bytes)> {
-        let mut whole = Vec::new();
+        let mut collected = Vec::new();
         loop {
             match timeout_at(until, self.body.frame()).await {
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
-                        whole.extend_from_slice(data);
+                        collected.extend_from_slice(data);
                     }
-                    if whole.len() > MAX_ANSWER_BYTES {
+                    if collected.len() > MAX_ANSWER_BYTES {
                         return None;
                     }
                 }
@@ -77,7 +77,7 @@
         *head.status_mut() = self.head.status();
         *head.headers_mut() = self.head.headers().clone();
         self.finish();
-        Some((head, whole.into()))
+        Some((head, collected.into()))
     }
 }
 
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -62,7 +62,7 @@
 
 /// Keeps the settings up to date.
 pub async fn settings(state: Rc<State>, decoder: Decoder) {
-    let take = |item: &Item| {
+    let apply = |item: &Item| {
         let value = item.value.as_ref().filter(|_| item.key == decoder.settings_key);
         let settings = value.map(|value| (decoder.settings)(value));
         match settings {
@@ -80,18 +80,18 @@
         }
     };
     follow(&state, Log::Settings, decoder, MAX_SETTINGS_WAIT, Duration::ZERO, |items, _| {
-        items.iter().map(&take).collect()
+        items.iter().map(&apply).collect()
     })
     .await;
 }
 
 /// Keeps the list of servers up to date.
 pub async fn servers(state: Rc<State>, decoder: Decoder) {
-    let take = |items: &[Item], info: BatchInfo| {
+    let apply = |items: &[Item], info: BatchInfo| {
         let before = state.peers().len();
         let change = |item| entries::apply(&state, decoder, item, info.regained);
-        let taken: Vec<bool> = items.iter().map(change).collect();
-        if info.whole {
+        let applied: Vec<bool> = items.iter().map(change).collect();
+        if info.complete {
             entries::drop_missing(&state, items, info.regained);
         }
         entries::drop_after_grace(&state);
@@ -107,9 +107,9 @@
         if !items.is_empty() {
             state.changed.notify_waiters();
         }
-        taken
+        applied
     };
-    follow(&state, Log::Servers, decoder, Duration::ZERO, SERVER_LIST_INTERVAL, take).await;
+    follow(&state, Log::Servers, decoder, Duration::ZERO, SERVER_LIST_INTERVAL, apply).await;
 }
 
 /// How a batch of records was read.
@@ -118,12 +118,12 @@
     /// Offset after the last record.
     end: Offset,
     /// Whether the batch holds all newest records, not only changes.
-    whole: bool,
+    complete: bool,
     /// Whether the store was unavailable until shortly before.
     regained: bool,
 }
 
-/// Reads all newest records of a log, and after that its changes, as long as the process runs. `take` applies a batch
+/// Reads all newest records of a log, and after that its changes, as long as the process runs. `apply` applies a batch
 /// and returns for each record whether it was applied.
 async fn follow(
     state: &State,
@@ -131,7 +131,7 @@
     decoder: Decoder,
     wait: Duration,
     pause: Duration,
-    mut take: impl FnMut(&[Item], BatchInfo) -> Vec<bool>,
+    mut apply: impl FnMut(&[Item], BatchInfo) -> Vec<bool>,
 ) {
     let mut at: Option<Offset> = None;
     let mut unavailable_since: Option<Instant> = None;
@@ -183,9 +183,9 @@
                     regained_at = Some(Instant::now());
                 }
                 let regained = regained_at.is_some_and(|at| at.elapsed() < EXPIRY_GRACE);
-                let whole = kind == ReadKind::Newest;
-                let taken = take(&items, BatchInfo { end, whole, regained });
-                shared_read::cache_newest(state, log, &items, &taken, end, whole);
+                let complete = kind == ReadKind::Newest;
+                let applied = apply(&items, BatchInfo { end, complete, regained });
+                shared_read::cache_newest(state, log, &items, &applied, end, complete);
                 at = Some(end);
                 if kind != ReadKind::SourceChanges {
                     shared_read::pause_after_read(state, pause).await;
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -111,7 +111,7 @@
     }
 }
 
-/// Time between two join calls.
+/// Returns the time between two join calls.
 fn pause(idle: bool) -> Duration {
     if idle { IDLE_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL }
 }
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -22,8 +22,8 @@
 /// Time in which a crashed server comes back: two to four and a half seconds in the runs of both deployments.
 const RESTART_TIME: Duration = Duration::from_secs(5);
 
-/// Fraction of the servers that must answer for a silent one to count as dead. If most are silent, this router itself is
-/// cut off.
+/// Fraction of the servers that must answer for a silent one to count as dead. If most are silent, this router itself
+/// is cut off.
 const MIN_REACHABLE_RATIO: f64 = 0.6;
 
 /// Layers that one data centre lacks.
@@ -105,8 +105,8 @@
 
 /// Returns how long some data centre has lacked layers that no server is loading.
 fn gap_duration(state: &State, gaps: &[Gap]) -> Duration {
-    let whole = gaps.iter().all(|gap| gap.missing.is_empty());
-    match (whole, state.layers_missing_since.get()) {
+    let complete = gaps.iter().all(|gap| gap.missing.is_empty());
+    match (complete, state.layers_missing_since.get()) {
         (true, _) => state.layers_missing_since.set(None),
         (false, None) => state.layers_missing_since.set(Some(state.now())),
         (false, Some(_)) => {}
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -209,8 +209,8 @@
     alone.mul_f64(MAX_LOAD_TIME_FACTOR * (concurrent as f64 / 6.0).max(1.0)) + ANSWER_GRACE
 }
 
-/// Asks a server for its report, unless it is suspected: its order is overdue for some time already, and the orders of
-/// other servers must not wait for it each time.
+/// Fetches a server's report, unless the server is suspected: its order has been overdue for some time, and the orders
+/// of other servers must not wait for it each time.
 async fn query(state: &State, peer: &Peer) -> Result<Report, String> {
     if peer.suspicion.borrow().holds(state.now()) {
         return Err("it is suspected".to_owned());
--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -18,7 +18,7 @@
 /// servers whose answers it reads late would count as dead.
 pub(super) const MAX_CONCURRENT_PROBES: usize = 60;
 
-/// Asks model servers for their reports, beginning at index `from`, and notifies the other routers of what has changed.
+/// Fetches the reports of model servers, beginning at index `from`, and notifies the other routers of what has changed.
 ///
 /// A server that turned slow delays all requests that pass through it, and neither its entry nor a router that uses
 /// other paths shows it. No router knows how full a server's memory is either: each sees only its own requests, and
@@ -58,7 +58,8 @@
     }
 }
 
-/// Returns the servers that are slow. A change is announced once, at once; a router that starts later learns of it from this list.
+/// Returns the servers that are slow. A change is announced once, at once; a router that starts later learns of it from
+/// this list.
 fn slow_servers(state: &State) -> Vec<(Id, u32)> {
     let peers = state.peers();
     let slow = peers.iter().filter(|p| p.slowdown.get() > 1.0 + MIN_PACE_CHANGE);
@@ -79,7 +80,7 @@
         let answers = futures_util::future::join_all(queries).await;
         let alive = answers.iter().filter(|answer| answer.is_ok()).count();
         if alive == 0 {
-            // They are dead, and so are most likely the rest.
+            // These servers are dead, and so are most likely the rest.
             return;
         }
         log::info!("gateway: doubted={} alive={alive}", chunk.len());
--- a/crates/gateway/src/leader/term.rs
+++ b/crates/gateway/src/leader/term.rs
@@ -64,7 +64,7 @@
     idle: bool,
 ) -> Result<(Assignment, Duration), Fault> {
     // The membership's time runs from the arrival of the call, so counting from its sending is safe. The shorter time
-    // also counts for a call that asked for the longer one: the next call shortens it.
+    // also counts for a call that requested the longer one: the next call shortens it.
     let until = clock::boot() + MEMBERSHIP_TTL.mul_f64(USABLE_TTL_RATIO);
     let member = state.member();
     let ttl = if idle { IDLE_MEMBERSHIP_TTL } else { MEMBERSHIP_TTL };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -133,7 +133,7 @@
         self.event("store_call_failed");
     }
 
-    /// Counts a source router, from which this one reads, that gave no useful answer.
+    /// Counts a source that gave no usable answer.
     pub fn source_lost(&self) {
         self.event("source_lost");
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -103,7 +103,7 @@
     }
 
     /// Takes an idle connection, if one can still be used.
-    pub fn idle(&self) -> Option<Connection> {
+    pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         idle.retain(|i| i.until > now && i.connection.sender.is_ready());
@@ -112,7 +112,7 @@
 
     /// Takes an idle connection or establishes a new one.
     pub async fn take(&self) -> Result<Connection, Fault> {
-        match self.idle() {
+        match self.take_idle() {
             Some(connection) => Ok(connection),
             None => self.connect().await,
         }
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Requests a loan from one router, and passes it to the round. A loan that arrives after the round has ended is used by
-/// requests that wait at that time.
+/// Requests a loan from one router, and passes it to the round. A loan that arrives after the round has ended is used
+/// by requests that wait at that time.
 async fn request_loan(
     state: Rc<State>,
     service: String,
@@ -231,7 +231,7 @@
         }
         None => {
             log::info!(
-                "gateway: no repeats from address={lender} why=no answer within {LOAN_VALIDITY:?}"
+                "gateway: no loan from address={lender} why=no answer within {LOAN_VALIDITY:?}"
             );
             borrower.back_off(lender, now + LENDER_BACKOFF);
         }
--- a/crates/gateway/src/retries/handover.rs
+++ b/crates/gateway/src/retries/handover.rs
@@ -4,11 +4,11 @@
 //! count in the same window, so each new process may use next to nothing of its share for the length of the window, and
 //! others can borrow nothing from it either.
 //!
-//! A process that is asked to stop writes a record of the retries that it used as its last action, and its successor
-//! continues with the rest. Each process first appends a record of its start. An end record is valid only if it is the
-//! last one before that start: the end of an earlier process, or one that arrives late, lacks what was used since. If
-//! the start record can't be appended, this is retried. An end record is valid for a few seconds only, which bounds the
-//! effect of such a failure.
+//! A process that receives a stop signal writes a record of the retries that it used as its last action, and its
+//! successor continues with the rest. Each process first appends a record of its start. An end record is valid only if
+//! it is the last one before that start: the end of an earlier process, or one that arrives late, lacks what was used
+//! since. If the start record can't be appended, this is retried. An end record is valid for a few seconds only, which
+//! bounds the effect of such a failure.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -177,8 +177,8 @@
     }
 }
 
-/// Returns the time from the end of the previous process to the start of this one. None if the two clocks disagree, because one of
-/// them has jumped or the VM has been restarted.
+/// Returns the time from the end of the previous process to the start of this one. None if the two clocks disagree,
+/// because one of them has jumped or the VM has been restarted.
 fn gap(state: &State, clock_ms: u64, boot_ms: u64) -> Option<Duration> {
     let now = state.now();
     let since = |clock: Duration, then: u64| {
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -101,7 +101,7 @@
         Roster::new(self.generation, self.names)
     }
 
-    /// Members, the strongest first.
+    /// Returns the members, the strongest first.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -47,7 +47,8 @@
 }
 
 impl ZoneLoad {
-    /// Load of a data centre without reports. The ratio is assumed to be the square root of the number of routers.
+    /// Returns the load of a data centre without reports. The ratio is assumed to be the square root of the number of
+    /// routers.
     pub(super) fn unknown(zone: Zone, routers: u32) -> ZoneLoad {
         let zone_ratio = f64::from(routers).sqrt();
         ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: zone_ratio, zone_ratio }
@@ -119,12 +120,13 @@
 }
 
 impl Charge {
-    /// A prompt that crosses a link between data centres.
+    /// Creates the charge of a prompt that crosses a link between data centres.
     pub(super) fn link(ends: (Zone, Zone), ms: f64, share: f64) -> Charge {
         Charge { target: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
     }
 
-    /// The prefill of a prompt through some layers of a server; `None` if its accelerator type is unknown.
+    /// Creates the charge of the prefill of a prompt in some layers of a server; `None` if its accelerator type is
+    /// unknown.
     pub(super) fn prefill(
         peer: &Rc<Peer>,
         model: &Model,
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -82,7 +82,7 @@
 }
 
 impl Model {
-    /// The accelerator type with that name.
+    /// Returns the accelerator type with that name.
     pub fn card(&self, name: &str) -> Option<Card> {
         let at = self.cards.binary_search_by(|(n, _)| n.as_str().cmp(name)).ok()?;
         Some(self.cards[at].1)
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -104,7 +104,7 @@
 }
 
 impl Setup {
-    /// Number of other routers that this VM can read the store for.
+    /// Returns the number of other routers that this VM can read the store for.
     ///
     /// ```
     /// # let text = "[process]\nvm=v\ndata-centre=a\nlisten=127.0.0.1:1\nready=127.0.0.1:2\ngrace-s=8\n\
--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -114,7 +114,7 @@
     /// Era of the store that all of these belong to, and when it began.
     era: Cell<Era>,
     era_began_at: Cell<Option<Duration>>,
-    /// Woken when there are updates, or another source.
+    /// Notified when there are updates, or another source.
     updated: Notify,
     /// Notices that this router received or announced.
     gossip: RefCell<Gossip>,
@@ -122,7 +122,7 @@
     next_source_notice: Cell<(u64, u64)>,
     /// Number of the next notice to forward to the source.
     next_forwarded: Cell<u64>,
-    /// Woken when there are notices to forward.
+    /// Notified when there are notices to forward.
     notices_pending: Notify,
     /// This router's view of the list of servers.
     view: Cell<Option<View>>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Generation of the newest known list of members.
+    /// Returns the generation of the newest known list of members.
     pub fn generation(&self) -> Generation {
         self.roster.borrow().generation
     }
@@ -162,12 +162,12 @@
         *self.incarnation.get_or_init(rand::random)
     }
 
-    /// Number of known members of the group.
+    /// Returns the number of known members of the group.
     pub fn members(&self) -> usize {
         self.roster.borrow().members().len()
     }
 
-    /// Index of this router among the members, and their number, once it is a member.
+    /// Returns the index of this router among the members, and their number, once it is a member.
     pub fn rank(&self) -> Option<(u32, u32)> {
         self.rank.get()
     }
@@ -215,7 +215,7 @@
     LOGS.iter().position(|l| *l == log)
 }
 
-/// Returns where this router reads the store's records from.
+/// Returns the source: where this router reads the store's records from.
 pub fn source(state: &State) -> Source {
     if state.setup.inner.is_none() {
         return Source::Store;
@@ -321,25 +321,25 @@
     }
 }
 
-/// Caches the newest values of keys up to the offset `end`, for routers that request all of them. `whole` says that the
-/// items are complete: the record of a key's deletion may itself have been deleted. An item that was not `taken`,
-/// because a newer one is known, does not replace the former value: a restored store may hold older ones.
+/// Caches the newest values of keys up to the offset `end`, for routers that request all of them. `complete` says that
+/// the items are those of all keys: the record of a key's deletion may itself have been deleted. An item that was not
+/// `applied`, because a newer one is known, does not replace the former value: a restored store may hold older ones.
 pub fn cache_newest(
     state: &State,
     log: Log,
     items: &[Item],
-    taken: &[bool],
+    applied: &[bool],
     end: Offset,
-    whole: bool,
+    complete: bool,
 ) {
     drop_former_era(state);
     let mut newest = state.sharing.newest.borrow_mut();
     let Some(newest) = position(log).and_then(|at| newest.get_mut(at)) else { return };
     newest.end = Some(end);
-    if whole {
+    if complete {
         newest.values.retain(|(key, _)| items.iter().any(|item| item.key == *key));
     }
-    for (item, _) in items.iter().zip(taken).filter(|(_, taken)| **taken) {
+    for (item, _) in items.iter().zip(applied).filter(|(_, applied)| **applied) {
         let found = newest.values.binary_search_by(|(key, _)| key.cmp(&item.key));
         match (found, &item.value) {
             (Ok(at), Some(value)) => newest.values[at].1 = value.clone(),
--- a/crates/gateway/src/shared_read/availability.rs
+++ b/crates/gateway/src/shared_read/availability.rs
@@ -27,8 +27,8 @@
 }
 
 /// Records that the store answered a call that this router sent at `sent_at`. A source that has reported the store as
-/// unavailable is asked to check again: it may be the only router that is cut off, or may not know that the store has
-/// returned.
+/// unavailable is requested to check again: it may be the only router that is cut off, or may not know that the store
+/// has returned.
 pub fn record_store_answer(state: &State, sent_at: Duration) {
     state.sharing.store_check_at.set(None);
     match is_reported_unavailable(state) {
--- a/crates/gateway/src/shared_read/page.rs
+++ b/crates/gateway/src/shared_read/page.rs
@@ -126,7 +126,7 @@
         self.from == from && self.end >= from && ordered && within
     }
 
-    /// Time since the store was read.
+    /// Returns the time since the store was read.
     pub fn age(&self) -> Option<Duration> {
         self.age_ms.map(Duration::from_millis)
     }
--- a/crates/gateway/src/shared_read/tail.rs
+++ b/crates/gateway/src/shared_read/tail.rs
@@ -105,12 +105,12 @@
         self.records.iter().map(|(record, _)| record.clone()).collect()
     }
 
-    /// Offset after the last one read; none if nothing was read.
+    /// Returns the offset after the last record read; none if nothing was read.
     pub fn end(&self) -> Option<Offset> {
         self.read.map(|_| self.end)
     }
 
-    /// Time since the store was read.
+    /// Returns the time since the store was read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.read.map(|read| now.saturating_sub(read))
     }
--- a/crates/gateway/src/shared_read/view.rs
+++ b/crates/gateway/src/shared_read/view.rs
@@ -33,7 +33,7 @@
     pub digest: Digest,
 }
 
-/// Digest of one entry. The remaining warm-up time of a server and the number of the entry do not count.
+/// Returns the digest of one entry. The remaining warm-up time of a server and the number of the entry do not count.
 pub fn digest(server: &Server) -> Digest {
     let mut hasher = DefaultHasher::new();
     let Server { id, service, address, zone, slots, state, born, card, span, .. } = server;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -67,7 +67,7 @@
     routers: RefCell<Routers>,
     /// Whether the list of servers was read once.
     pub servers_read: Cell<bool>,
-    /// When the process was asked to stop.
+    /// When the process received the stop signal.
     pub stopping: Cell<Option<Duration>>,
     /// Callers' open connections.
     pub callers: Cell<u32>,
@@ -81,9 +81,9 @@
     pub unplaced_requests: Cell<u32>,
     /// Bytes of request bodies in memory.
     pub body_bytes: Cell<usize>,
-    /// Woken when servers or settings change.
+    /// Notified when servers or settings change.
     pub changed: Notify,
-    /// Woken when a server is suspected.
+    /// Notified when a server is suspected.
     pub server_suspected: Notify,
     /// Traffic that this router sent over the links between data centres, by pair of data centres.
     pub links: RefCell<Vec<((Zone, Zone), Meter)>>,
@@ -97,7 +97,7 @@
     probing_log: Cell<Option<Log>>,
     /// When the store last answered again after it was unavailable.
     regained: Cell<Duration>,
-    /// Woken when the store answers again.
+    /// Notified when the store answers again.
     pub store_returned: Notify,
     /// Last logged line about the layers that data centres lack.
     pub placement: RefCell<String>,
@@ -123,7 +123,7 @@
     pub broken_run_lines: RefCell<Quota>,
     /// Notices for the other routers that are still to be sent.
     pub notices: RefCell<Vec<crate::notice::Notice>>,
-    /// Woken when there are notices to send.
+    /// Notified when there are notices to send.
     pub notices_queued: Notify,
     start: Instant,
 }
@@ -175,12 +175,12 @@
         })
     }
 
-    /// Time since the process started.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Option<Rc<Settings>> {
         self.settings.borrow().clone()
     }
@@ -209,7 +209,7 @@
         }
     }
 
-    /// When the store last answered again after it was unavailable.
+    /// Returns when the store last answered again after it was unavailable.
     pub fn store_regained_at(&self) -> Duration {
         self.regained.get()
     }
@@ -243,25 +243,25 @@
         self.stopping.get().is_none() && self.servers_read.get() && self.settings.borrow().is_some()
     }
 
-    /// All servers, sorted by id.
+    /// Returns all servers, sorted by id.
     pub fn peers(&self) -> Vec<Rc<Peer>> {
         self.peers.borrow().clone()
     }
 
-    /// Servers of one service.
+    /// Returns the servers of one service.
     pub fn peers_of(&self, service: &str) -> Vec<Rc<Peer>> {
         let peers = self.peers.borrow();
         peers.iter().filter(|p| p.server().service == service).cloned().collect()
     }
 
-    /// The server with that id.
+    /// Returns the server with that id.
     pub fn peer(&self, id: &str) -> Option<Rc<Peer>> {
         let peers = self.peers.borrow();
         let at = peers.binary_search_by(|p| p.server().id.as_str().cmp(id)).ok()?;
         Some(peers[at].clone())
     }
 
-    /// The server at that address.
+    /// Returns the server at that address.
     pub fn peer_at(&self, address: SocketAddr) -> Option<Rc<Peer>> {
         self.peers.borrow().iter().find(|p| p.server().address == address).cloned()
     }
@@ -282,14 +282,14 @@
         self.peers.borrow_mut().retain(|p| p.server().id != *id);
     }
 
-    /// The last entry of a server that was removed lately, if it belongs to the same start.
+    /// Returns the last entry of a server that was removed lately, if it belongs to the same start.
     pub fn removed(&self, server: &Server) -> Option<Rc<Server>> {
         let gone = self.removed.borrow();
         let same = |gone: &Server| gone.id == server.id && gone.is_same_start(server);
         gone.iter().map(|(gone, _)| gone).find(|gone| same(gone)).cloned()
     }
 
-    /// Last entries of the servers that were removed within a time, and how long ago.
+    /// Returns the last entries of the servers that were removed within a time, and how long ago.
     pub fn removed_within(&self, time: Duration) -> Vec<(Rc<Server>, Duration)> {
         let (now, gone) = (self.now(), self.removed.borrow());
         let ago = gone.iter().map(|(server, at)| (server.clone(), now.saturating_sub(*at)));
@@ -336,13 +336,13 @@
         self.routers.borrow_mut().record(self.now(), routers);
     }
 
-    /// Number of routers that share the retry budget.
+    /// Returns the number of routers that share the retry budget.
     pub fn routers(&self) -> u32 {
         let members = self.sharing.rank().map_or(0, |(_, routers)| routers);
         self.routers.borrow().count(self.now()).max(members)
     }
 
-    /// Retries of a service that this router may still send now.
+    /// Returns the number of retries of a service that this router may still send now.
     pub fn retries_left(&self, service: &str) -> u32 {
         let (now, routers) = (self.now(), self.routers());
         self.budget(service, |budget| budget.left(now, routers))
@@ -359,7 +359,7 @@
     /// Queues a notice to the other routers.
     pub fn announce(&self, notice: crate::notice::Notice) {
         let mut notices = self.notices.borrow_mut();
-        // While the store is unavailable, older notices lose their use.
+        // The queue is bounded: notices that wait long, because the store is unavailable, are of no use any more.
         if notices.len() < 64 {
             notices.push(notice);
         }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -147,7 +147,7 @@
     fell_at: Cell<Option<Instant>>,
     /// Since when all answers report a lower era.
     lower_since: Cell<Option<Instant>>,
-    /// Woken when another era begins.
+    /// Notified when another era begins.
     era_changed: Notify,
 }
 
@@ -215,17 +215,17 @@
         }
     }
 
-    /// The era of the store, as far as it is known.
+    /// Returns the era of the store, as far as it is known.
     pub fn era(&self) -> Era {
         self.era.get()
     }
 
-    /// Restores of the store that were detected.
+    /// Returns the number of restores of the store that were detected.
     pub fn restores(&self) -> u64 {
         self.restores.get()
     }
 
-    /// Answers that reported a lower era than the known one, or none that could be read.
+    /// Returns the number of answers that reported a lower era than the known one, or one that could not be read.
     pub fn rejected_eras(&self) -> u64 {
         self.rejected.get()
     }
@@ -290,12 +290,12 @@
         }
     }
 
-    /// Calls sent so far, by kind.
+    /// Returns the number of calls sent so far, by kind.
     pub fn call_counts(&self) -> Vec<(&'static str, u64)> {
         self.calls.borrow().clone()
     }
 
-    /// Calls so far that had no useful answer, by the kind of the call and of the fault.
+    /// Returns the number of calls so far that had no useful answer, by the kind of the call and of the fault.
     pub fn fault_counts(&self) -> Vec<((&'static str, &'static str), u64)> {
         self.faults.borrow().clone()
     }
--- a/crates/gateway/src/store/fault.rs
+++ b/crates/gateway/src/store/fault.rs
@@ -22,7 +22,7 @@
     #[display("the store refused the call with status {_0}")]
     Refused(#[error(not(source))] u16),
     /// The requested records were deleted.
-    #[display("the records asked for were deleted")]
+    #[display("the requested records were deleted")]
     Gone,
     /// The log does not end where the call says; nothing was done.
     #[display("the log has grown meanwhile, end={end:?}")]
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -122,7 +122,7 @@
 }
 
 /// A path along which a stream arrives.
-struct Source {
+struct Upstream {
     path: Path,
     answer: Box<Answer>,
     splitter: Splitter,
@@ -135,7 +135,7 @@
     disconnected: bool,
 }
 
-impl Source {
+impl Upstream {
     /// Returns the next event, which must follow `last`; waits until the deadline `until` at most. Cancel-safe: no
     /// bytes are lost if the future is dropped.
     async fn event(&mut self, last: Option<Id>, until: Instant) -> Next {
@@ -211,9 +211,9 @@
         random: rand::random(),
         counted_for_link: Cell::new(false),
     };
-    let (mut source, first) = match progress.open().await {
-        Ok(Opened::Stream(source, first)) => (source, first),
-        Ok(Opened::Whole(answer)) => return answer,
+    let (mut upstream, first) = match progress.open().await {
+        Ok(Opened::Stream(upstream, first)) => (upstream, first),
+        Ok(Opened::Complete(answer)) => return answer,
         Err(Reason::Full) => {
             let retry_after = state.shortage.borrow_mut().refused(state.now());
             return answer::error_after(Reason::Full, Some(retry_after));
@@ -233,9 +233,9 @@
     };
     state.shortage.borrow_mut().placed(state.now());
     state.missing.borrow_mut().found();
-    let mut head = std::mem::replace(&mut source.answer.head, Response::new(()));
+    let mut head = std::mem::replace(&mut upstream.answer.head, Response::new(()));
     // The original header fields are needed later to decide whether the connection can be reused.
-    source.answer.head.headers_mut().clone_from(head.headers());
+    upstream.answer.head.headers_mut().clone_from(head.headers());
     answer::strip(head.headers_mut());
     let (sender, receiver) = mpsc::channel::<Result<Frame<Bytes>, BodyError>>(MAX_QUEUED_EVENTS);
     let (runs, unrefused) = (progress.runs, progress.unrefused);
@@ -262,7 +262,7 @@
             random: 0.0,
             counted_for_link: Cell::new(true),
         };
-        relay(progress, source, first, sender).await;
+        relay(progress, upstream, first, sender).await;
     });
     head.map(|()| StreamBody::new(ReceiverStream::new(receiver).map(|f| f)).boxed_unsync())
 }
@@ -270,7 +270,7 @@
 /// Relays events until the stream is complete, the caller disconnects, or no path can resume the stream.
 async fn relay(
     mut progress: Progress<'_>,
-    mut source: Source,
+    mut upstream: Upstream,
     first: Event,
     sender: mpsc::Sender<Result<Frame<Bytes>, BodyError>>,
 ) {
@@ -279,13 +279,13 @@
         let why = match next {
             Next::Event(event) => {
                 progress.last_event = event.id.or(progress.last_event);
-                source.path.record_event(progress.state.now());
-                progress.log_delay(&source.path);
+                upstream.path.record_event(progress.state.now());
+                progress.log_delay(&upstream.path);
                 if sender.send(Ok(Frame::data(event.bytes))).await.is_err() {
                     return progress.log_caller_left();
                 }
                 next = tokio::select! {
-                    next = progress.next_event(&mut source) => next,
+                    next = progress.next_event(&mut upstream) => next,
                     () = sender.closed() => return progress.log_caller_left(),
                 };
                 continue;
@@ -294,11 +294,11 @@
                 progress.state.metrics.stream_complete(progress.call.arrived.elapsed());
                 crash::record_completion(progress.state, progress.call);
                 progress.state.record_stream_duration(progress.call.arrived.elapsed());
-                return source.answer.finish();
+                return upstream.answer.finish();
             }
             Next::Silent(why) => {
                 next = tokio::select! {
-                    next = progress.recover(&mut source, why) => next,
+                    next = progress.recover(&mut upstream, why) => next,
                     () = sender.closed() => return progress.log_caller_left(),
                 };
                 continue;
@@ -309,19 +309,19 @@
         log::info!(
             "gateway: request={} path_broken={why} first={} last_event={:?} age={:?}",
             progress.call.id,
-            source.path.first().server().id,
+            upstream.path.first().server().id,
             progress.last_event,
             progress.call.arrived.elapsed()
         );
         progress.held_up = "resumed";
-        progress.abandon(&source);
-        drop(source);
+        progress.abandon(&upstream);
+        drop(upstream);
         let opened = tokio::select! {
             opened = progress.resume() => opened,
             () = sender.closed() => return progress.log_caller_left(),
         };
         match opened {
-            Some((fresh, event)) => (source, next) = (fresh, Next::Event(event)),
+            Some((fresh, event)) => (upstream, next) = (fresh, Next::Event(event)),
             None => {
                 progress.state.metrics.stream_cut();
                 log::warn!(
@@ -360,10 +360,10 @@
     }
 
     /// Excludes the first server of an abandoned path, and records a broken run if its connection broke.
-    fn abandon(&mut self, source: &Source) {
-        let first = source.path.first();
+    fn abandon(&mut self, upstream: &Upstream) {
+        let first = upstream.path.first();
         self.exclude(first);
-        if source.disconnected {
+        if upstream.disconnected {
             self.record_broken_run(first);
         }
     }
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -11,7 +11,7 @@
 
 use super::{
     INITIAL_PAUSE, MAX_SILENCE, MIN_SILENCE, Next, Obstacle, Progress, SILENCE_CHECK_INTERVAL,
-    Source, record_decline,
+    Upstream, record_decline,
 };
 use crate::answer::{self, Body, Reason};
 use crate::count::Counted;
@@ -41,9 +41,9 @@
 
 /// Answer that came along a path.
 pub(super) enum Opened {
-    Stream(Source, Event),
+    Stream(Upstream, Event),
     /// A complete answer that is not a stream, such as an error.
-    Whole(Response<Body>),
+    Complete(Response<Body>),
 }
 
 /// Outcome of a race between a silent path and a search for another one.
@@ -51,7 +51,7 @@
     /// The silent path produced this first.
     Kept(T),
     /// Another path sent an event first.
-    Other(Box<Source>, Event),
+    Other(Box<Upstream>, Event),
     /// No other path is available now.
     Neither,
 }
@@ -63,9 +63,9 @@
     Late,
 }
 
-impl<T> From<(Source, Event)> for Race<T> {
-    fn from((source, event): (Source, Event)) -> Race<T> {
-        Race::Other(Box::new(source), event)
+impl<T> From<(Upstream, Event)> for Race<T> {
+    fn from((upstream, event): (Upstream, Event)) -> Race<T> {
+        Race::Other(Box::new(upstream), event)
     }
 }
 
@@ -84,11 +84,11 @@
 
 impl Progress<'_> {
     /// Resumes the stream after its last event on another path; tries until the caller's deadline.
-    pub(super) async fn resume(&mut self) -> Option<(Source, Event)> {
+    pub(super) async fn resume(&mut self) -> Option<(Upstream, Event)> {
         while self.last_event.is_some() && self.may_run_again().await {
             match self.open().await {
-                Ok(Opened::Stream(source, event)) => return Some((source, event)),
-                Ok(Opened::Whole(_)) => return None,
+                Ok(Opened::Stream(upstream, event)) => return Some((upstream, event)),
+                Ok(Opened::Complete(_)) => return None,
                 Err(reason)
                     if Instant::now() >= self.call.deadline
                         || self.tries >= MAX_TRIES
@@ -134,12 +134,12 @@
     }
 
     /// Opens another path and returns it with its first event; after a short wait returns `None` if there is none now.
-    fn try_other_path(&mut self) -> LocalBoxFuture<'_, Option<(Source, Event)>> {
+    fn try_other_path(&mut self) -> LocalBoxFuture<'_, Option<(Upstream, Event)>> {
         Box::pin(async {
             match self.may_run_again().await {
                 true => match self.open().await {
-                    Ok(Opened::Stream(source, event)) => return Some((source, event)),
-                    Ok(Opened::Whole(_)) | Err(_) => {}
+                    Ok(Opened::Stream(upstream, event)) => return Some((upstream, event)),
+                    Ok(Opened::Complete(_)) | Err(_) => {}
                 },
                 false => self.obstacle = Some(Obstacle::Attempts),
             }
@@ -215,8 +215,8 @@
             || retries::may_borrow(self.state, self.service, self.need())
     }
 
-    /// Probes the servers of a path and meanwhile asks other routers for a loan if no retry is left here; true if a
-    /// server of the path is found to be at fault.
+    /// Probes the servers of a path and meanwhile requests a loan from other routers if no retry is left here; true if
+    /// a server of the path is found to be at fault.
     async fn probe_and_borrow(&mut self, path: &Path) -> bool {
         let borrowed = retries::borrow(self.state, self.service, self.need());
         tokio::join!(self.check_path(path), borrowed).0
@@ -359,7 +359,7 @@
                 let ends = |outcome: &Outcome| !matches!(outcome, Outcome::Answer(_));
                 match self.race_other_path(&mut sending, ends).await {
                     Race::Kept(outcome) => break outcome,
-                    Race::Other(source, event) => return Ok(Opened::Stream(*source, event)),
+                    Race::Other(upstream, event) => return Ok(Opened::Stream(*upstream, event)),
                     Race::Neither => {}
                 }
             }
@@ -404,8 +404,8 @@
         let first = path.first().clone();
         if status != StatusCode::OK {
             let again = status.is_server_error() && self.may_run_again().await;
-            let whole = answer.collect(self.call.deadline).await;
-            if whole.is_some() {
+            let collected = answer.collect(self.call.deadline).await;
+            if collected.is_some() {
                 crash::record_completion(self.state, self.call);
             }
             log::info!(
@@ -413,8 +413,10 @@
                 self.call.id,
                 first.server().id
             );
-            return match whole {
-                Some((head, body)) if !again => Ok(Opened::Whole(answer::from_server(head, body))),
+            return match collected {
+                Some((head, body)) if !again => {
+                    Ok(Opened::Complete(answer::from_server(head, body)))
+                }
                 _ => {
                     self.exclude(&first);
                     Err(Failure::Unknown)
@@ -423,22 +425,22 @@
         }
         let splitter = Splitter::default();
         let (pause, since) = (INITIAL_PAUSE, started);
-        let mut source =
-            Source { path, answer, splitter, started, pause, since, disconnected: false };
-        let mut next = self.next_event(&mut source).await;
+        let mut upstream =
+            Upstream { path, answer, splitter, started, pause, since, disconnected: false };
+        let mut next = self.next_event(&mut upstream).await;
         while let Next::Silent(why) = next {
-            next = self.recover(&mut source, why).await;
+            next = self.recover(&mut upstream, why).await;
         }
         match next {
             Next::Event(event) => {
-                self.state.metrics.first_event(source.started.elapsed());
-                source.path.first().count_continued();
+                self.state.metrics.first_event(upstream.started.elapsed());
+                upstream.path.first().count_continued();
                 crash::record_progress(self.state, self.call, event.id.map_or(1, |id| id + 1));
-                Ok(Opened::Stream(source, event))
+                Ok(Opened::Stream(upstream, event))
             }
             Next::Late => Err(Failure::Late),
             Next::End | Next::Silent(_) | Next::Broken(_) => {
-                self.abandon(&source);
+                self.abandon(&upstream);
                 Err(Failure::Unknown)
             }
         }
--- a/crates/gateway/src/stream/watch.rs
+++ b/crates/gateway/src/stream/watch.rs
@@ -8,7 +8,7 @@
 use super::open::Race;
 use super::{
     MAX_SILENCE, MIN_SILENCE, Next, Obstacle, Progress, RepathFailure, SILENCE_CHECK_INTERVAL,
-    SILENCE_FACTOR, Source,
+    SILENCE_FACTOR, Upstream,
 };
 use crate::probe;
 use crate::route::{self, Crossing, Path};
@@ -26,18 +26,18 @@
 
 impl Progress<'_> {
     /// Waits for the next event of a path; returns [`Next::Silent`] if it has been silent for too long.
-    pub(super) async fn next_event(&mut self, source: &mut Source) -> Next {
-        source.since = Instant::now();
-        let mut wait = source.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
+    pub(super) async fn next_event(&mut self, upstream: &mut Upstream) -> Next {
+        upstream.since = Instant::now();
+        let mut wait = upstream.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
         loop {
             let (last, until) = (self.last_event, self.call.deadline);
-            let due = source.since + wait;
+            let due = upstream.since + wait;
             let outcome = tokio::select! {
-                outcome = timeout_at(due, source.event(last, until)) => outcome,
+                outcome = timeout_at(due, upstream.event(last, until)) => outcome,
                 () = self.state.server_suspected.notified() => {
-                    let overdue = source.pause.mul_f64(OVERDUE_FACTOR);
-                    match source.path.is_suspected(self.state.now()) {
-                        true if source.since.elapsed() >= overdue => return Next::Silent(NO_ANSWER),
+                    let overdue = upstream.pause.mul_f64(OVERDUE_FACTOR);
+                    match upstream.path.is_suspected(self.state.now()) {
+                        true if upstream.since.elapsed() >= overdue => return Next::Silent(NO_ANSWER),
                         true => wait = wait.min(overdue),
                         false => {}
                     }
@@ -47,13 +47,13 @@
             match outcome {
                 Ok(next) => return next,
                 // Part of an event was received meanwhile.
-                Err(_) if source.since + wait > due => {
-                    wait = source.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
+                Err(_) if upstream.since + wait > due => {
+                    wait = upstream.pause.mul_f64(SILENCE_FACTOR).max(MIN_SILENCE);
                 }
                 Err(_) if wait >= MAX_SILENCE => return Next::Silent("no event for too long"),
                 Err(_) => {
                     wait += SILENCE_CHECK_INTERVAL;
-                    if self.check_path(&source.path).await {
+                    if self.check_path(&upstream.path).await {
                         return Next::Silent(NO_ANSWER);
                     }
                 }
@@ -63,35 +63,35 @@
 
     /// Waits for the next event of a silent path, and meanwhile repaths the stream or opens another path in parallel;
     /// takes whichever sends an event first.
-    pub(super) async fn recover(&mut self, source: &mut Source, why: &'static str) -> Next {
+    pub(super) async fn recover(&mut self, upstream: &mut Upstream, why: &'static str) -> Next {
         log::info!(
             "gateway: request={} path_silent={why} first={} last_event={:?} pause={:?}",
             self.call.id,
-            source.path.first().server().id,
+            upstream.path.first().server().id,
             self.last_event,
             self.forwarded_at.elapsed()
         );
         self.held_up = "silent path";
-        self.exclude(source.path.first());
+        self.exclude(upstream.path.first());
         let mut next_check = Instant::now();
         let mut crossing = Crossing::IMMEDIATE;
         loop {
             if Instant::now() >= next_check {
                 next_check = Instant::now() + SILENCE_CHECK_INTERVAL;
-                let suspected = source.path.is_suspected(self.state.now());
-                let suspected = suspected || self.check_path(&source.path).await;
-                if suspected && self.repath(&mut source.path, crossing).await {
-                    return self.next_event(source).await;
+                let suspected = upstream.path.is_suspected(self.state.now());
+                let suspected = suspected || self.check_path(&upstream.path).await;
+                if suspected && self.repath(&mut upstream.path, crossing).await {
+                    return self.next_event(upstream).await;
                 }
                 crossing = Crossing::DEFAULT;
             }
-            let event = source.event(self.last_event, self.call.deadline);
+            let event = upstream.event(self.last_event, self.call.deadline);
             match self.race_other_path(event, |next| matches!(next, Next::Broken(_))).await {
                 Race::Kept(next) => return next,
                 Race::Other(fresh, event) => {
                     self.held_up = "resumed";
-                    self.abandon(source);
-                    *source = *fresh;
+                    self.abandon(upstream);
+                    *upstream = *fresh;
                     return Next::Event(event);
                 }
                 Race::Neither => {}
