--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -55,7 +55,7 @@
     /// No server holds some layers of the model, and the store is unavailable.
     #[display("part of the model is lost, and the platform's store is away")]
     NoPathAway,
-    /// All servers that could take the request have announced limits that are used up.
+    /// All servers that could take the request have set limits that are used up.
     #[display("the limit that the backend servers name is used up")]
     Limited,
     /// All servers that were tried declined.
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -21,7 +21,8 @@
 use crate::request::Call;
 use crate::state::State;
 
-/// Longest time that a suspect request waits for others that run alone. Callers leave after a much longer wait.
+/// Longest time that a suspect request waits for others that run alone. After a much longer wait, its caller would have
+/// left.
 const MAX_ALONE_WAIT: Duration = Duration::from_millis(400);
 
 /// Time in which losses are gathered before other routers are notified.
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -37,8 +37,8 @@
 /// layers.
 const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
-/// Longest time that the tasks of other logs wait while one probes whether the store has returned. That one wakes them;
-/// the limit is for a store that answers for some logs only.
+/// Longest time that the tasks of other logs wait while one probes whether the store is available again. That one wakes
+/// them; the limit is for a store that answers for some logs only.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(4000);
 
 /// Time after the store was regained during which a missing entry may have expired while the store was unavailable.
@@ -219,14 +219,14 @@
     }
 }
 
-/// Waits after a failed read of a log: for `pause` if this task is the one that probes whether the store has returned,
-/// else until that one has an answer. Returns whether it is the one that probes.
+/// Waits after a failed read of a log: for `pause` if this task is the one that probes whether the store is available
+/// again, else until that one has an answer. Returns whether it is the one that probes.
 ///
-/// A router with a source does not probe: the source reports when the store has returned.
+/// A router with a source does not probe: the source reports when the store is available again.
 async fn wait_after_failure(state: &State, log: Log, pause: Duration) -> bool {
     let probes = state.record_store_failure(log);
     let pause = if probes && shared_read::may_read_store(state) { pause } else { MAX_PROBE_WAIT };
-    let _ = tokio::time::timeout(pause, state.store_returned.notified()).await;
+    let _ = tokio::time::timeout(pause, state.store_regained.notified()).await;
     probes
 }
 
@@ -347,7 +347,7 @@
 /// Returns how long the store may wait for records; `wait` if nothing requires a shorter time.
 fn max_wait(state: &State, wait: Duration) -> Duration {
     match () {
-        // The answer shows that the store has returned.
+        // The answer shows that the store is available again.
         () if state.store_unavailable() => Duration::ZERO,
         // The records that the reader serves to others must not grow old.
         () if shared_read::is_reader(state) => wait.min(MAX_READER_WAIT),
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -59,7 +59,7 @@
     generation: Generation,
     /// Answers in a row with that generation.
     stable_answers: u32,
-    /// When the last join call was sent.
+    /// When the last join call was sent; none if the next one is due at once.
     last_join: Option<Duration>,
     /// Whether the last join call had no answer.
     last_join_failed: bool,
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -15,11 +15,12 @@
 use crate::state::State;
 
 /// Slowdown of a server, as a factor on the time of its steps, from which on its layers are loaded elsewhere too. A
-/// slow server reads fewer prompts than its data centre gets. With 2, servers that are three times slower use up
-/// reserves that the next loss would need: 0.624 instead of 0.636 mean worth on the larger deployment of one user.
+/// slow server does the prefill of fewer prompts than its data centre receives. With 2, servers that are three times
+/// slower use up reserves that the next loss would need: 0.624 instead of 0.636 mean worth on the larger deployment of
+/// one user.
 const MAX_SLOWDOWN: f64 = 6.0;
 
-/// Time in which a crashed server comes back: two to four and a half seconds in the runs of both deployments.
+/// Time in which a crashed server is available again: two to four and a half seconds in the runs of both deployments.
 const RESTART_TIME: Duration = Duration::from_secs(5);
 
 /// Fraction of the servers that must answer for a silent one to count as dead. If most are silent, this router itself
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -148,7 +148,7 @@
         self.event("list_differs");
     }
 
-    /// Counts a change of the limit that a server names.
+    /// Counts a change of the limit that a server sets.
     pub fn limit_named(&self) {
         self.event("limit_named");
     }
--- a/crates/gateway/src/notice.rs
+++ b/crates/gateway/src/notice.rs
@@ -49,7 +49,7 @@
         #[serde(default)]
         slow: Vec<(String, u32)>,
     },
-    /// A server names another limit for all routers together, or none any more.
+    /// A server sets another limit for all routers together, or none any more.
     Limit {
         /// The server.
         server: String,
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -72,7 +72,7 @@
     pub reported_load: Cell<Option<(u32, Duration)>>,
     /// Times of its answers.
     pub pace: Cell<Pace>,
-    /// Limit on the requests of all routers together that it announces.
+    /// Limit that it sets on the requests of all routers together.
     pub limited: Limited,
     /// Requests that this router sent there lately.
     pub sent: RefCell<Sent>,
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -273,7 +273,7 @@
     pick(&choices, &mut rand::rng()).map(|at| candidates[at].clone())
 }
 
-/// Whether all servers that take requests have announced limits that are used up.
+/// Whether all servers that take requests have set limits that are used up.
 fn over_limit(state: &State, service: &str) -> bool {
     let now = state.now();
     let mut peers = state.peers_of(service);
--- a/crates/gateway/src/retries/heavy.rs
+++ b/crates/gateway/src/retries/heavy.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a quarter of the servers dies, the routers use most of the budget, and then all of them lose power.
 //! What the previous processes used counts in the same window, but no running process has a record of it. So heavy use
-//! is also written to the store; a router that finds no report of it uses part of its budget at once.
+//! is also written to the store; a router that finds no report of it uses part of its share at once.
 
 use std::cell::Cell;
 use std::time::Duration;
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -70,8 +70,9 @@
         &self.peers[0]
     }
 
-    /// Charges the prompt to the meters of the servers that read it and of the links that it crosses. Only called for a
-    /// path that a request is sent along: streams that wait for a retry search for a path many times a second.
+    /// Charges the prompt to the meters of the servers that do its prefill and of the links that it crosses. Only
+    /// called for a path that a request is sent along: streams that wait for a retry search for a path many times a
+    /// second.
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
@@ -143,8 +144,8 @@
     Some(rest)
 }
 
-/// Returns why there is no path that avoids the servers in `excluded`. The reasons differ in when a caller should come
-/// back: full memory is released sooner than lost layers are loaded.
+/// Returns why there is no path that avoids the servers in `excluded`. The reasons differ in when a caller should
+/// retry: full memory is released sooner than lost layers are loaded.
 pub fn no_path_reason(state: &State, service: &str, model: &Model, excluded: &[String]) -> Reason {
     match covers_all_layers(state, service, model, excluded) {
         true if over_limit(state, service, excluded) => Reason::Limited,
@@ -166,7 +167,7 @@
     covered >= model.shape.layers
 }
 
-/// Whether all servers at which a request could begin have announced limits that are used up.
+/// Whether all servers at which a request could begin have set limits that are used up.
 fn over_limit(state: &State, service: &str, excluded: &[String]) -> bool {
     let now = state.now();
     let mut firsts = state.peers_of(service);
@@ -184,7 +185,9 @@
 
 /// Constraints on the search for a path.
 struct Constraints<'a> {
+    /// First layer to run on the path.
     from: u32,
+    /// Data centre in which the path begins.
     zone: Zone,
     /// Servers that have already done the prefill of the request.
     kept: &'a [Rc<Peer>],
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -15,7 +15,7 @@
 use crate::state::State;
 
 /// Explains for the log why there is no path: how many servers were rejected for which reason, and which layers the
-/// remaining ones do not hold.
+/// remaining servers lack.
 pub fn explain(
     state: &State,
     service: &str,
--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -208,7 +208,7 @@
     sharing.era_began_at.set(Some(state.now()));
     log::info!("gateway: era={era} before={before} dropped offsets={ends:?}");
     sharing.updated.notify_waiters();
-    state.store_returned.notify_waiters();
+    state.store_regained.notify_waiters();
 }
 
 fn position(log: Log) -> Option<usize> {
--- a/crates/gateway/src/shared_read/availability.rs
+++ b/crates/gateway/src/shared_read/availability.rs
@@ -28,7 +28,7 @@
 
 /// Records that the store answered a call that this router sent at `sent_at`. A source that has reported the store as
 /// unavailable is requested to check again: it may be the only router that is cut off, or may not know that the store
-/// has returned.
+/// is available again.
 pub fn record_store_answer(state: &State, sent_at: Duration) {
     state.sharing.store_check_at.set(None);
     match is_reported_unavailable(state) {
@@ -36,7 +36,7 @@
             state.sharing.store_answered_at.set(Some(state.now()));
         }
         true => {}
-        false if state.store_unavailable() => state.store_returned.notify_waiters(),
+        false if state.store_unavailable() => state.store_regained.notify_waiters(),
         false => {}
     }
 }
--- a/crates/gateway/src/shared_read/client.rs
+++ b/crates/gateway/src/shared_read/client.rs
@@ -146,7 +146,7 @@
     let oldest = timely.filter_map(|(part, _)| part.age()).max().unwrap_or_default();
     let reported = sharing.store_unavailable.replace(page.store_unavailable);
     if page.store_unavailable {
-        // The source reports at once when the store has returned.
+        // The source reports at once when the store is available again.
         state.record_store_failure(Log::Settings);
         if !reported {
             sharing.reported_unavailable_at.set(now);
--- a/crates/gateway/src/shared_read/server.rs
+++ b/crates/gateway/src/shared_read/server.rs
@@ -100,7 +100,7 @@
     let check_again = number("answered") == Some(1) && is_store_unavailable(state);
     if check_again {
         state.sharing.store_check_at.set(Some(state.now()));
-        state.store_returned.notify_waiters();
+        state.store_regained.notify_waiters();
     }
     let unavailable = || !check_again && is_store_unavailable(state);
     let no_notices = || state.sharing.gossip.borrow().next() == next_wanted;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -75,7 +75,7 @@
     pub serving: Cell<u32>,
     /// Requests to models that found no free server lately.
     pub shortage: RefCell<Shortage>,
-    /// For how long some part of a model has been missing.
+    /// For how long some layers of a model have been missing.
     pub missing: RefCell<Missing>,
     /// New requests that wait until a server has a slot for them.
     pub unplaced_requests: Cell<u32>,
@@ -93,12 +93,12 @@
     pub stream_duration: Cell<Duration>,
     /// By how much timers are late in this process.
     pub lag: Cell<Duration>,
-    /// The log whose task probes whether the store has returned, while it is unavailable.
+    /// The log whose task probes whether the store is available again, while it is unavailable.
     probing_log: Cell<Option<Log>>,
     /// When the store last answered again after it was unavailable.
     regained: Cell<Duration>,
     /// Notified when the store answers again.
-    pub store_returned: Notify,
+    pub store_regained: Notify,
     /// Last logged line about the layers that data centres lack.
     pub placement: RefCell<String>,
     /// Since when some data centre lacks layers, as the leader sees it.
@@ -111,7 +111,7 @@
     pub sharing: Sharing,
     /// Requests during which servers ended.
     pub crashes: Crashes,
-    /// Ledgers that this router owns for servers that name limits.
+    /// Ledgers that this router owns for servers that set limits.
     pub ledgers: Ledgers,
     /// Retries that this router borrowed from others.
     pub retries: Retries,
@@ -157,7 +157,7 @@
             lag: Cell::default(),
             probing_log: Cell::new(None),
             regained: Cell::default(),
-            store_returned: Notify::new(),
+            store_regained: Notify::new(),
             placement: RefCell::default(),
             is_leader: Cell::new(false),
             tenure: RefCell::default(),
@@ -205,7 +205,7 @@
     pub fn record_store_answer(&self) {
         if self.probing_log.take().is_some() {
             self.regained.set(self.now());
-            self.store_returned.notify_waiters();
+            self.store_regained.notify_waiters();
         }
     }
 
@@ -216,7 +216,7 @@
 
     /// Records that a read of a log failed; returns whether its task is the one to retry soon. If tens of routers each
     /// retried for each log, they would send hundreds of calls a second to a store that answers none, and all of them
-    /// would meet a store that returns. One call shows as much.
+    /// would send their calls at once when the store is available again. One call shows as much.
     pub fn record_store_failure(&self, log: Log) -> bool {
         let probing_log = self.probing_log.get().unwrap_or(log);
         self.probing_log.set(Some(probing_log));
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -240,7 +240,7 @@
     /// Finds a path; a new request waits for one until `until` if the servers are only full.
     ///
     /// Load pattern: a data centre runs near its limit, and a slot becomes free every few milliseconds. A refused
-    /// request comes back a second or more later, so it is late even if it is then served. Where many requests wait,
+    /// request is retried a second or more later, so it is late even if it is then served. Where many requests wait,
     /// only a few of them would get a slot in time, so the rest are refused at once.
     async fn wait_for_path(&self, until: Instant) -> Option<Path> {
         let now = self.state.now();
