--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use crate::state::State;
 use crate::store::{Call, End, Fault, Item, Log, Offset, Reply};
 
-pub use notices::{announce, notices};
+pub use notices::{notices, send_notices};
 
 /// Time the store may wait for new settings. An answer counts as overdue soon after, so that a connection without
 /// answers is closed before settings come into force too late.
@@ -60,7 +60,7 @@
     pub item: fn(&[u8]) -> Option<Keyed>,
 }
 
-/// Keeps the settings up to date.
+/// Keeps the settings up to date, as long as the process runs.
 pub async fn settings(state: Rc<State>, decoder: Decoder) {
     let apply = |item: &Item| {
         let value = item.value.as_ref().filter(|_| item.key == decoder.settings_key);
@@ -85,7 +85,7 @@
     .await;
 }
 
-/// Keeps the list of servers up to date.
+/// Keeps the list of servers up to date, as long as the process runs.
 pub async fn servers(state: Rc<State>, decoder: Decoder) {
     let apply = |items: &[Item], info: BatchInfo| {
         let before = state.peers().len();
--- a/crates/gateway/src/follow/notices.rs
+++ b/crates/gateway/src/follow/notices.rs
@@ -67,7 +67,7 @@
     retries::finish_replay(state);
 }
 
-/// Receives the notices of other routers.
+/// Receives the notices of other routers, as long as the process runs.
 pub async fn notices(state: Rc<State>) {
     let mut at: Option<(Offset, Era)> = read_earlier(&state).await;
     loop {
@@ -139,8 +139,8 @@
 /// that send work to a dead server detect that within the same tenth of a second.
 const DUPLICATE_WAIT_PER_ROUTER: Duration = Duration::from_millis(6);
 
-/// Writes the notices for the other routers.
-pub async fn announce(state: Rc<State>) {
+/// Sends the queued notices to the other routers, by gossip and through the store, as long as the process runs.
+pub async fn send_notices(state: Rc<State>) {
     loop {
         state.notices_queued.notified().await;
         let max_wait = DUPLICATE_WAIT_PER_ROUTER * state.routers();
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -174,7 +174,7 @@
     // The answer to a request that was sent before the limit was known is no sign that the limit has ended.
     let ended = own && since.is_some_and(|since| since < now.saturating_sub(took));
     if (named.is_some() || ended) && peer.limited.set(named, now) {
-        publish_change(state, peer, "its answer");
+        signal_change(state, peer, "its answer");
         let per_s_milli = named.map(|limit| (limit * 1e3).round() as u64);
         state.announce(Notice::Limit { server: peer.server().id.clone(), per_s_milli });
         report_sent(state, peer, since.is_none());
@@ -185,12 +185,13 @@
 pub fn receive(state: &Rc<State>, peer: &Rc<Peer>, per_s_milli: Option<u64>) {
     let first = peer.limited.per_s().is_none();
     if peer.limited.set(per_s_milli.map(|limit| limit as f64 / 1e3), state.now()) {
-        publish_change(state, peer, "reported by another router");
+        signal_change(state, peer, "reported by another router");
         report_sent(state, peer, first);
     }
 }
 
-fn publish_change(state: &State, peer: &Peer, why: &str) {
+/// Logs and counts a change of a server's limit, and notifies requests that wait for servers.
+fn signal_change(state: &State, peer: &Peer, why: &str) {
     let sent = peer.sent.borrow_mut().count(state.now());
     let (id, limit) = (peer.server().id.clone(), peer.limited.per_s());
     log::info!("gateway: server={id} limit={limit:?} sent_lately={sent} why={why}");
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -97,7 +97,7 @@
     probing_log: Cell<Option<Log>>,
     /// When the store last answered again after it was unavailable.
     regained: Cell<Duration>,
-    /// Notified when the store answers again.
+    /// Notified when the store may be available again, so that failed reads are retried.
     pub store_regained: Notify,
     /// Last logged line about the layers that data centres lack.
     pub placement: RefCell<String>,
