--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -41,8 +41,9 @@
 /// them; the limit is for a store that answers for some logs only.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(4000);
 
-/// Time after the store was regained during which a missing entry may have expired while the store was unavailable.
-const EXPIRY_GRACE: Duration = Duration::from_millis(1500);
+/// Time after the store was regained in which a missing entry is assumed to have expired while the store was
+/// unavailable.
+const REGAINED_PERIOD: Duration = Duration::from_millis(1500);
 
 /// A key and its value; the value is none if the key was deleted.
 pub type Keyed = (String, Option<Bytes>);
@@ -182,7 +183,7 @@
                     log::info!("gateway: store regained log={log} away={:?}", since.elapsed());
                     regained_at = Some(Instant::now());
                 }
-                let regained = regained_at.is_some_and(|at| at.elapsed() < EXPIRY_GRACE);
+                let regained = regained_at.is_some_and(|at| at.elapsed() < REGAINED_PERIOD);
                 let complete = kind == ReadKind::Newest;
                 let applied = apply(&items, BatchInfo { end, complete, regained });
                 shared_read::cache_newest(state, log, &items, &applied, end, complete);
--- a/crates/gateway/src/follow/notices.rs
+++ b/crates/gateway/src/follow/notices.rs
@@ -19,7 +19,7 @@
 /// Pause of the reader after a read of notices: around the loss of servers they come one by one.
 const BATCH_PAUSE: Duration = Duration::from_millis(400);
 
-/// Number of notices from before its start that a process reads. The leader announces the load of all servers each
+/// Limit on the notices from before its start that a process reads. The leader announces the load of all servers each
 /// second; around a dead server some tens of routers announce it once each.
 const MAX_REPLAYED_NOTICES: Offset = 100;
 
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -48,8 +48,8 @@
 /// heartbeat of each server.
 const SURVEY_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Join calls in a row to begin one term. The first one may find that the log of orders has grown, and the router has
-/// to join again.
+/// Limit on the join calls in a row to begin one term. The first one may find that the log of orders has grown, and the
+/// router has to join again.
 const MAX_JOIN_ATTEMPTS: usize = 3;
 
 /// State of the orders and of this router's right to issue them.
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -23,9 +23,9 @@
 /// Time for which a server that got an order and does not answer counts as carrying it out.
 const ANSWER_GRACE: Duration = Duration::from_millis(2500);
 
-/// Orders that are sent at once. Each is two exchanges over new connections, which take some six milliseconds of the
-/// smallest VM. A thousand at once take longer than the time limit for servers to answer; the router would then treat
-/// live servers as dead and report them to all others.
+/// Limit on the orders that are sent at once. Each is two exchanges over new connections, which take some six
+/// milliseconds of the smallest VM. A thousand at once take longer than the time limit for servers to answer; the
+/// router would then treat live servers as dead and report them to all others.
 const MAX_CONCURRENT_ORDERS: usize = 40;
 
 /// Time after which a server's report shows an order that it has accepted. If it shows none, the order was lost. An
--- a/crates/gateway/src/leader/survey.rs
+++ b/crates/gateway/src/leader/survey.rs
@@ -11,11 +11,11 @@
 /// Relative change of a server's pace from which on the other routers are notified.
 const MIN_PACE_CHANGE: f64 = 0.3;
 
-/// Servers suspected at once from which on they are probed again before orders are issued.
+/// Number of servers suspected at once from which on they are probed again before orders are issued.
 const MIN_SUSPECTS: usize = 3;
 
-/// Servers probed at once. A probe takes three milliseconds of the smallest VM: a thousand at once would block it, and
-/// servers whose answers it reads late would count as dead.
+/// Limit on the servers probed at once. A probe takes three milliseconds of the smallest VM: a thousand at once would
+/// block it, and servers whose answers it reads late would count as dead.
 pub(super) const MAX_CONCURRENT_PROBES: usize = 60;
 
 /// Fetches the reports of model servers, beginning at index `from`, and notifies the other routers of what has changed.
--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -29,7 +29,7 @@
 /// Time limit for an answer of a ledger's owner. Routers are some milliseconds apart, and callers wait for the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time for which an owner that did not answer is passed over.
+/// Time for which an owner that did not answer is avoided.
 const OWNER_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Time after which a router that got no answer requests permits again.
@@ -174,7 +174,7 @@
     // The answer to a request that was sent before the limit was known is no sign that the limit has ended.
     let ended = own && since.is_some_and(|since| since < now.saturating_sub(took));
     if (named.is_some() || ended) && peer.limited.set(named, now) {
-        signal_change(state, peer, "its answer");
+        signal_change(state, peer, "answer of the server");
         let per_s_milli = named.map(|limit| (limit * 1e3).round() as u64);
         state.announce(Notice::Limit { server: peer.server().id.clone(), per_s_milli });
         report_sent(state, peer, since.is_none());
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -22,7 +22,7 @@
 use crate::retries;
 use crate::state::State;
 
-/// Servers tried for one request, including those that decline it.
+/// Limit on the servers tried for one request, including those that decline it.
 const MAX_TRIES: usize = 4;
 
 /// Fraction of a retryable request's goal after which another server is tried. If the first server has lost the
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -27,7 +27,7 @@
 /// partition would stay open for minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Idle connections kept per server. More are open at the same time only during a burst.
+/// Limit on the idle connections kept per server. More are open at the same time only during a burst.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Time for which an idle connection is reused if its server announces no time-out. Servers close idle connections
--- a/crates/gateway/src/probe.rs
+++ b/crates/gateway/src/probe.rs
@@ -169,7 +169,7 @@
     peer.pool.connect().await.is_err_and(|fault| fault.cause == Cause::Refused)
 }
 
-/// Servers of a data centre that are probed to check whether this router reaches that data centre.
+/// Limit on the servers of a data centre that are probed to check whether this router reaches that data centre.
 const MAX_NEARBY_PROBES: usize = 2;
 
 /// Whether a server that fell silent without closing its connections has ended or is cut off: nothing listens at its
--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -172,7 +172,7 @@
         }
         asked += pending.len();
         for request in &pending {
-            let loan = request_loan(
+            let loan = borrow_from(
                 state.clone(),
                 service.clone(),
                 need,
@@ -212,7 +212,7 @@
 
 /// Requests a loan from one router, and passes it to the round. A loan that arrives after the round has ended is used
 /// by requests that wait at that time.
-async fn request_loan(
+async fn borrow_from(
     state: Rc<State>,
     service: String,
     need: Need,
--- a/crates/gateway/src/shared_read/client.rs
+++ b/crates/gateway/src/shared_read/client.rs
@@ -27,7 +27,7 @@
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a router that did not answer is avoided.
-const SOURCE_AVOIDANCE: Duration = Duration::from_secs(4);
+const SOURCE_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Time within which a router checks whether a store that is reported as unavailable answers it.
 const STORE_CHECK_TIME: Duration = Duration::from_millis(500);
@@ -195,7 +195,7 @@
     sharing.source.borrow_mut().take();
     let mut avoided = sharing.avoided.borrow_mut();
     avoided.retain(|(a, until)| now < *until && *a != address);
-    avoided.push((address, now + SOURCE_AVOIDANCE));
+    avoided.push((address, now + SOURCE_BACKOFF));
     drop(avoided);
     sharing.updated.notify_waiters();
 }
--- a/crates/gateway/src/shared_read/forward.rs
+++ b/crates/gateway/src/shared_read/forward.rs
@@ -15,7 +15,7 @@
 use crate::state::State;
 
 /// Time for which notices are gathered before they are forwarded to the source.
-const GATHER_TIME: Duration = Duration::from_millis(20);
+const GATHER_DELAY: Duration = Duration::from_millis(20);
 
 /// Applies notices of other routers, and forwards those that are new.
 pub(super) fn receive(state: &Rc<State>, notices: Vec<Vec<u8>>, from: Origin) {
@@ -56,7 +56,7 @@
 pub async fn forward_notices(state: Rc<State>) {
     loop {
         state.sharing.notices_pending.notified().await;
-        sleep(GATHER_TIME).await;
+        sleep(GATHER_DELAY).await;
         let (notices, next) =
             state.sharing.gossip.borrow().from_downstream(state.sharing.next_forwarded.get());
         state.sharing.next_forwarded.set(next);
--- a/crates/gateway/src/shared_read/gossip.rs
+++ b/crates/gateway/src/shared_read/gossip.rs
@@ -12,7 +12,7 @@
 /// Number of a notice at the router that forwards it.
 pub type Number = u64;
 
-/// Number of notices that are kept: around the loss of a data centre each router announces some tens of servers.
+/// Limit on the notices that are kept: around the loss of a data centre each router announces some tens of servers.
 const MAX_NOTICES: usize = 1024;
 
 /// Time for which notices are kept. Older ones are announced again or out of date.
--- a/crates/gateway/src/shared_read/tail.rs
+++ b/crates/gateway/src/shared_read/tail.rs
@@ -7,7 +7,7 @@
 
 use crate::store::Offset;
 
-/// Number of records that are kept of each log: all servers of a large fleet may change within some seconds.
+/// Limit on the records that are kept of each log: all servers of a large fleet may change within some seconds.
 const MAX_RECORDS: usize = 4096;
 
 /// Time for which records are kept. A router that lags further behind reads the store.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -57,7 +57,7 @@
 /// Fraction of a server's memory in use above which it may decline a request for lack of memory.
 const NEARLY_FULL_FRACTION: f64 = 0.85;
 
-/// Events queued for one caller. A caller that does not read blocks only its own stream.
+/// Limit on the events queued for one caller. A caller that does not read blocks only its own stream.
 const MAX_QUEUED_EVENTS: usize = 64;
 
 /// Cause of the pause before an event that no failure delayed.
--- a/crates/gateway/src/stream/open.rs
+++ b/crates/gateway/src/stream/open.rs
@@ -24,7 +24,7 @@
 use crate::retries;
 use crate::route::{self, Crossing, Path};
 
-/// Paths tried for one request, including those whose servers decline it.
+/// Limit on the paths tried for one request, including those whose servers decline it.
 const MAX_TRIES: u32 = 5;
 
 /// Fraction of the route's goal after which the servers of the path are probed if no event has come.
@@ -33,7 +33,7 @@
 /// Interval between two searches for a path.
 const PATH_RETRY_INTERVAL: Duration = Duration::from_millis(60);
 
-/// New requests of one router that wait for a free slot or memory at the same time.
+/// Limit on the new requests of one router that wait for a free slot or memory at the same time.
 const MAX_WAITING_REQUESTS: u32 = 3;
 
 /// Fraction of the goal for which a new request waits for a path; the rest is left for its first event.
