--- a/crates/gateway/src/limited.rs
+++ b/crates/gateway/src/limited.rs
@@ -174,7 +174,7 @@
     // The answer to a request that was sent before the limit was known is no sign that the limit has ended.
     let ended = own && since.is_some_and(|since| since < now.saturating_sub(took));
     if (named.is_some() || ended) && peer.limited.set(named, now) {
-        signal_change(state, peer, "answer of the server");
+        signal_change(state, peer, "its answer");
         let per_s_milli = named.map(|limit| (limit * 1e3).round() as u64);
         state.announce(Notice::Limit { server: peer.server().id.clone(), per_s_milli });
         report_sent(state, peer, since.is_none());
