--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -55,7 +55,7 @@
     /// No server holds some layers of the model, and the store is unavailable.
     #[display("part of the model is lost, and the platform's store is away")]
     NoPathAway,
-    /// All servers that could take the request have announced limits that are used up.
+    /// All servers that could take the request have set limits that are used up.
     #[display("the limit that the backend servers name is used up")]
     Limited,
     /// All servers that were tried declined.
@@ -134,13 +134,13 @@
     answer.extensions().get().copied()
 }
 
-/// Returns an error answer; the caller may retry after `again`, if that is given.
-pub fn error_after(reason: Reason, after: Option<Duration>) -> Response<Body> {
+/// Returns an error answer; the caller may retry after `retry_after`, if that is given.
+pub fn error_after(reason: Reason, retry_after: Option<Duration>) -> Response<Body> {
     let text = Bytes::from(format!("{reason}\n"));
     let mut answer = Response::new(Full::new(text).map_err(infallible).boxed_unsync());
     *answer.status_mut() = reason.status();
     answer.extensions_mut().insert(reason);
-    if let Some(after) = after {
+    if let Some(after) = retry_after {
         let seconds = format!("{:.1}", after.as_secs_f64());
         let value = HeaderValue::from_str(&seconds).expect("digits");
         answer.headers_mut().insert(RETRY_AFTER, value);
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -30,7 +30,8 @@
     Answer(Box<Answer>),
     /// The server never received the request.
     NotSent(String),
-    /// The server declined the request; the address is that of the server of the path at fault.
+    /// The server declined the request; the address, if there is one, is that of the server of the path that is at
+    /// fault.
     NotRun(StatusCode, Option<std::net::SocketAddr>),
     /// The request may have run, and there is no answer.
     Unknown(String),
@@ -57,15 +58,15 @@
 
     /// Reads the complete body. `None` if the connection breaks, the body is too long, or `until` passes.
     pub async fn collect(mut self, until: Instant) -> Option<(Response<()>, Bytes)> {
-        let mut whole = Vec::new();
+        let mut collected = Vec::new();
         loop {
             match timeout_at(until, self.body.frame()).await {
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
-                        whole.extend_from_slice(data);
+                        collected.extend_from_slice(data);
                     }
-                    if whole.len() > MAX_ANSWER_BYTES {
+                    if collected.len() > MAX_ANSWER_BYTES {
                         return None;
                     }
                 }
@@ -76,7 +77,7 @@
         *head.status_mut() = self.head.status();
         *head.headers_mut() = self.head.headers().clone();
         self.finish();
-        Some((head, whole.into()))
+        Some((head, collected.into()))
     }
 }
 
@@ -106,7 +107,7 @@
     log_sent(state, peer, call);
     let reused = connection.reused;
     let outcome = exchange(state, peer, call, &extra, connection, until).await;
-    // A reused connection that ends before any byte of the answer had most likely been idle for too long.
+    // A reused connection that ends before any byte of the answer was most likely idle for too long.
     let stale = reused && call.route.class.is_retryable() && matches!(outcome, Outcome::Unknown(_));
     if !stale || Instant::now() >= until || !may_resend(state, peer, need).await {
         return outcome;
@@ -129,7 +130,7 @@
     peer.limited.allows(now) && retries::take(state, &service, need) && peer.limited.take(now)
 }
 
-/// Logs which entry of the server is known that a request is sent to.
+/// Logs which server a request is sent to, and which entry of it this router knows.
 fn log_sent(state: &State, peer: &Peer, call: &Call) {
     let (server, entry, now) = (peer.server(), peer.entry(), state.now());
     log::info!(
@@ -215,7 +216,7 @@
     Outcome::Answer(Box::new(Answer { head, body, connection, peer: peer.clone() }))
 }
 
-/// Returns the requests at a server: those that run and those that wait for a slot.
+/// Parses the load field of an answer; returns the number of requests that run at the server or wait for a slot there.
 fn running(load: &HeaderValue) -> Option<u32> {
     let mut numbers = load.to_str().ok()?.split(',').map(|n| n.trim().parse::<u32>().ok());
     let runs = numbers.next()??;
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -15,7 +15,7 @@
 use crate::state::State;
 use crate::store::{Call, End, Fault, Item, Log, Offset, Reply};
 
-pub use notices::{announce, notices};
+pub use notices::{notices, send_notices};
 
 /// Time the store may wait for new settings. An answer counts as overdue soon after, so that a connection without
 /// answers is closed before settings come into force too late.
@@ -37,12 +37,13 @@
 /// layers.
 const MAX_PAUSE_DOUBLINGS: u32 = 2;
 
-/// Longest time that the tasks of other logs wait while one probes whether the store has returned. That one wakes them;
-/// the limit is for a store that answers for some logs only.
+/// Longest time that the tasks of other logs wait while one probes whether the store is available again. That one wakes
+/// them; the limit is for a store that answers for some logs only.
 const MAX_PROBE_WAIT: Duration = Duration::from_millis(4000);
 
-/// Time after the store was regained during which a missing entry may have expired while the store was unavailable.
-const EXPIRY_GRACE: Duration = Duration::from_millis(1500);
+/// Time after the store was regained in which a missing entry is assumed to have expired while the store was
+/// unavailable.
+const REGAINED_PERIOD: Duration = Duration::from_millis(1500);
 
 /// A key and its value; the value is none if the key was deleted.
 pub type Keyed = (String, Option<Bytes>);
@@ -60,9 +61,9 @@
     pub item: fn(&[u8]) -> Option<Keyed>,
 }
 
-/// Keeps the settings up to date.
+/// Keeps the settings up to date, as long as the process runs.
 pub async fn settings(state: Rc<State>, decoder: Decoder) {
-    let take = |item: &Item| {
+    let apply = |item: &Item| {
         let value = item.value.as_ref().filter(|_| item.key == decoder.settings_key);
         let settings = value.map(|value| (decoder.settings)(value));
         match settings {
@@ -80,18 +81,18 @@
         }
     };
     follow(&state, Log::Settings, decoder, MAX_SETTINGS_WAIT, Duration::ZERO, |items, _| {
-        items.iter().map(&take).collect()
+        items.iter().map(&apply).collect()
     })
     .await;
 }
 
-/// Keeps the list of servers up to date.
+/// Keeps the list of servers up to date, as long as the process runs.
 pub async fn servers(state: Rc<State>, decoder: Decoder) {
-    let take = |items: &[Item], info: BatchInfo| {
+    let apply = |items: &[Item], info: BatchInfo| {
         let before = state.peers().len();
         let change = |item| entries::apply(&state, decoder, item, info.regained);
-        let taken: Vec<bool> = items.iter().map(change).collect();
-        if info.whole {
+        let applied: Vec<bool> = items.iter().map(change).collect();
+        if info.complete {
             entries::drop_missing(&state, items, info.regained);
         }
         entries::drop_after_grace(&state);
@@ -107,9 +108,9 @@
         if !items.is_empty() {
             state.changed.notify_waiters();
         }
-        taken
+        applied
     };
-    follow(&state, Log::Servers, decoder, Duration::ZERO, SERVER_LIST_INTERVAL, take).await;
+    follow(&state, Log::Servers, decoder, Duration::ZERO, SERVER_LIST_INTERVAL, apply).await;
 }
 
 /// How a batch of records was read.
@@ -118,12 +119,12 @@
     /// Offset after the last record.
     end: Offset,
     /// Whether the batch holds all newest records, not only changes.
-    whole: bool,
+    complete: bool,
     /// Whether the store was unavailable until shortly before.
     regained: bool,
 }
 
-/// Reads all newest records of a log, and after that its changes, as long as the process runs. `take` applies a batch
+/// Reads all newest records of a log, and after that its changes, as long as the process runs. `apply` applies a batch
 /// and returns for each record whether it was applied.
 async fn follow(
     state: &State,
@@ -131,7 +132,7 @@
     decoder: Decoder,
     wait: Duration,
     pause: Duration,
-    mut take: impl FnMut(&[Item], BatchInfo) -> Vec<bool>,
+    mut apply: impl FnMut(&[Item], BatchInfo) -> Vec<bool>,
 ) {
     let mut at: Option<Offset> = None;
     let mut unavailable_since: Option<Instant> = None;
@@ -182,10 +183,10 @@
                     log::info!("gateway: store regained log={log} away={:?}", since.elapsed());
                     regained_at = Some(Instant::now());
                 }
-                let regained = regained_at.is_some_and(|at| at.elapsed() < EXPIRY_GRACE);
-                let whole = kind == ReadKind::Newest;
-                let taken = take(&items, BatchInfo { end, whole, regained });
-                shared_read::cache_newest(state, log, &items, &taken, end, whole);
+                let regained = regained_at.is_some_and(|at| at.elapsed() < REGAINED_PERIOD);
+                let complete = kind == ReadKind::Newest;
+                let applied = apply(&items, BatchInfo { end, complete, regained });
+                shared_read::cache_newest(state, log, &items, &applied, end, complete);
                 at = Some(end);
                 if kind != ReadKind::SourceChanges {
                     shared_read::pause_after_read(state, pause).await;
@@ -219,14 +220,14 @@
     }
 }
 
-/// Waits after a failed read of a log: for `pause` if this task is the one that probes whether the store has returned,
-/// else until that one has an answer. Returns whether it is the one that probes.
+/// Waits after a failed read of a log: for `pause` if this task is the one that probes whether the store is available
+/// again, else until that one has an answer. Returns whether it is the one that probes.
 ///
-/// A router with a source does not probe: the source reports when the store has returned.
+/// A router with a source does not probe: the source reports when the store is available again.
 async fn wait_after_failure(state: &State, log: Log, pause: Duration) -> bool {
     let probes = state.record_store_failure(log);
     let pause = if probes && shared_read::may_read_store(state) { pause } else { MAX_PROBE_WAIT };
-    let _ = tokio::time::timeout(pause, state.store_returned.notified()).await;
+    let _ = tokio::time::timeout(pause, state.store_regained.notified()).await;
     probes
 }
 
@@ -344,13 +345,13 @@
     changed
 }
 
-/// Returns how long the store may wait for records.
-fn max_wait(state: &State, usual: Duration) -> Duration {
+/// Returns how long the store may wait for records; `wait` if nothing requires a shorter time.
+fn max_wait(state: &State, wait: Duration) -> Duration {
     match () {
-        // The answer shows that the store has returned.
+        // The answer shows that the store is available again.
         () if state.store_unavailable() => Duration::ZERO,
         // The records that the reader serves to others must not grow old.
-        () if shared_read::is_reader(state) => usual.min(MAX_READER_WAIT),
-        () => usual,
+        () if shared_read::is_reader(state) => wait.min(MAX_READER_WAIT),
+        () => wait,
     }
 }
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -34,8 +34,8 @@
 /// sooner than by [`RENEWAL_INTERVAL`], at a tenth of a call for each router and change.
 const REBALANCE_RENEWAL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Answers in a row with the same generation after which partitions have been reassigned: a router gives partitions up
-/// with its next call after a change.
+/// Answers in a row with the same generation after which partitions have been reassigned: a router releases
+/// partitions with its next call after a change.
 const MIN_STABLE_ANSWERS: u32 = 2;
 
 /// Time between two checks for missing layers.
@@ -48,8 +48,8 @@
 /// heartbeat of each server.
 const SURVEY_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Join calls in a row to begin one term. The first one may find that the log of orders has grown, and the router has
-/// to join again.
+/// Limit on the join calls in a row to begin one term. The first one may find that the log of orders has grown, and the
+/// router has to join again.
 const MAX_JOIN_ATTEMPTS: usize = 3;
 
 /// State of the orders and of this router's right to issue them.
@@ -59,7 +59,7 @@
     generation: Generation,
     /// Answers in a row with that generation.
     stable_answers: u32,
-    /// When the last join call was sent.
+    /// When the last join call was sent; none if the next one is due at once.
     last_join: Option<Duration>,
     /// Whether the last join call had no answer.
     last_join_failed: bool,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Time between two join calls.
+/// Returns the time between two join calls.
 fn pause(idle: bool) -> Duration {
     if idle { IDLE_RENEWAL_INTERVAL } else { RENEWAL_INTERVAL }
 }
@@ -186,7 +186,7 @@
         // During a rebalance, a router may hold few partitions, or none.
         if self.stable_answers >= MIN_STABLE_ANSWERS && assignment.assigned > 0 {
             let before = self.state.routers();
-            self.state.count_routers((assignment.total / assignment.assigned).max(1));
+            self.state.record_routers((assignment.total / assignment.assigned).max(1));
             let routers = self.state.routers();
             if routers != before {
                 log::info!(
@@ -296,8 +296,8 @@
             let peers = state.peers_of(&service.name);
             order::update(state, &peers, &mut self.issued).await;
             survey::recheck_suspects(state, &peers).await;
-            let first = peers.iter().all(|p| p.span(state.now()).is_empty());
-            if first && !settled {
+            let is_new_fleet = peers.iter().all(|p| p.span(state.now()).is_empty());
+            if is_new_fleet && !settled {
                 continue;
             }
             let plan = gap::plan(state, &peers, model, &self.issued, &self.planned);
--- a/crates/gateway/src/leader/gap.rs
+++ b/crates/gateway/src/leader/gap.rs
@@ -15,15 +15,16 @@
 use crate::state::State;
 
 /// Slowdown of a server, as a factor on the time of its steps, from which on its layers are loaded elsewhere too. A
-/// slow server reads fewer prompts than its data centre gets. With 2, servers that are three times slower use up
-/// reserves that the next loss would need: 0.624 instead of 0.636 mean worth on the larger deployment of one user.
+/// slow server does the prefill of fewer prompts than its data centre receives. With 2, servers that are three times
+/// slower use up reserves that the next loss would need: 0.624 instead of 0.636 mean worth on the larger deployment of
+/// one user.
 const MAX_SLOWDOWN: f64 = 6.0;
 
-/// Time in which a crashed server comes back: two to four and a half seconds in the runs of both deployments.
+/// Time in which a crashed server is available again: two to four and a half seconds in the runs of both deployments.
 const RESTART_TIME: Duration = Duration::from_secs(5);
 
-/// Part of the servers that must answer for a silent one to count as dead. If most are silent, this router itself is
-/// cut off.
+/// Fraction of the servers that must answer for a silent one to count as dead. If most are silent, this router itself
+/// is cut off.
 const MIN_REACHABLE_RATIO: f64 = 0.6;
 
 /// Layers that one data centre lacks.
@@ -90,7 +91,7 @@
     gone.map(|(_, ago)| ago).chain(silent.map(|_| RESERVE_DELAY)).collect()
 }
 
-/// Gaps of each data centre, by name.
+/// Returns the gaps of each data centre, by name.
 fn gaps(peers: &[Rc<Peer>], servers: &[layers::Server], shape: &Shape) -> Vec<Gap> {
     let mut names: Vec<String> = peers.iter().map(|p| p.server().zone.clone()).collect();
     names.sort();
@@ -105,8 +106,8 @@
 
 /// Returns how long some data centre has lacked layers that no server is loading.
 fn gap_duration(state: &State, gaps: &[Gap]) -> Duration {
-    let whole = gaps.iter().all(|gap| gap.missing.is_empty());
-    match (whole, state.layers_missing_since.get()) {
+    let complete = gaps.iter().all(|gap| gap.missing.is_empty());
+    match (complete, state.layers_missing_since.get()) {
         (true, _) => state.layers_missing_since.set(None),
         (false, None) => state.layers_missing_since.set(Some(state.now())),
         (false, Some(_)) => {}
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -23,16 +23,16 @@
 /// Time for which a server that got an order and does not answer counts as carrying it out.
 const ANSWER_GRACE: Duration = Duration::from_millis(2500);
 
-/// Orders that are sent at once. Each is two exchanges over new connections, which take some six milliseconds of the
-/// smallest VM. A thousand at once take longer than the time limit for servers to answer; the router would then treat
-/// live servers as dead and report them to all others.
+/// Limit on the orders that are sent at once. Each is two exchanges over new connections, which take some six
+/// milliseconds of the smallest VM. A thousand at once take longer than the time limit for servers to answer; the
+/// router would then treat live servers as dead and report them to all others.
 const MAX_CONCURRENT_ORDERS: usize = 40;
 
 /// Time after which a server's report shows an order that it has accepted. If it shows none, the order was lost. An
 /// order that arrives even later names an outdated number of accepted orders, or is the same order that is sent again.
 const REPORT_DELAY: Duration = Duration::from_millis(700);
 
-/// Records of former terms that the next leader reads: a whole batch, and the first records of some terms.
+/// Number of records of former terms that the next leader reads: a whole batch, and the first records of some terms.
 const INHERITED_RECORDS: Offset = 48;
 
 /// An order that was sent and is not known to be done.
@@ -118,12 +118,12 @@
     issued: &mut Vec<Issued>,
 ) -> Result<(), Fault> {
     // The number of orders accepted so far comes from the server itself: its entry in the list lags.
-    let asked = orders.into_iter().map(|(span, peer)| async move {
+    let queries = orders.into_iter().map(|(span, peer)| async move {
         (span, probe::fetch_report(state, &peer, probe::urgent_timeout(state)).await, peer)
     });
-    let asked = futures_util::future::join_all(asked).await;
+    let reports = futures_util::future::join_all(queries).await;
     let mut ready = Vec::new();
-    for (span, report, peer) in asked {
+    for (span, report, peer) in reports {
         match report {
             Ok(report) if report.span == span => peer.record_span(report.span, state.now()),
             Ok(report) if report.busy => {
@@ -198,19 +198,19 @@
     );
     match answer {
         Ok((status, _)) => status.is_success(),
-        // It may have arrived, or arrive later.
+        // The order may have arrived, or may arrive later.
         Err(_) => true,
     }
 }
 
-/// Returns how long an order may take.
-fn time_limit(shape: &Shape, load: Duration, span: Span, at_once: usize) -> Duration {
-    let alone = load.mul_f64(f64::from(span.len()) / f64::from(shape.layers));
-    alone.mul_f64(MAX_LOAD_TIME_FACTOR * (at_once as f64 / 6.0).max(1.0)) + ANSWER_GRACE
+/// Returns how long an order may take if `concurrent` orders are sent at once.
+fn time_limit(shape: &Shape, load_time: Duration, span: Span, concurrent: usize) -> Duration {
+    let alone = load_time.mul_f64(f64::from(span.len()) / f64::from(shape.layers));
+    alone.mul_f64(MAX_LOAD_TIME_FACTOR * (concurrent as f64 / 6.0).max(1.0)) + ANSWER_GRACE
 }
 
-/// Asks a server for its report, unless it is suspected: its order is overdue for some time already, and the orders of
-/// other servers must not wait for it each time.
+/// Fetches a server's report, unless the server is suspected: its order has been overdue for some time, and the orders
+/// of other servers must not wait for it each time.
 async fn query(state: &State, peer: &Peer) -> Result<Report, String> {
     if peer.suspicion.borrow().holds(state.now()) {
         return Err("it is suspected".to_owned());
@@ -222,11 +222,11 @@
 pub(super) async fn update(state: &Rc<State>, peers: &[Rc<Peer>], issued: &mut Vec<Issued>) {
     let now = state.now();
     let open: Vec<Issued> = issued.clone();
-    let asked = open.iter().filter_map(|i| {
+    let queries = open.iter().filter_map(|i| {
         let peer = peers.iter().find(|p| p.server().id == i.server)?.clone();
         Some(async move { (i, query(state, &peer).await, peer) })
     });
-    for (order, report, peer) in futures_util::future::join_all(asked).await {
+    for (order, report, peer) in futures_util::future::join_all(queries).await {
         let done = match report {
             Ok(report) if report.span == order.span && !report.busy => {
                 let server = order.server.clone();
--- a/crates/gateway/src/leader/term.rs
+++ b/crates/gateway/src/leader/term.rs
@@ -16,7 +16,7 @@
 /// The same for an idle router, which joins rarely: it holds other partitions only, and nothing depends on those.
 const IDLE_MEMBERSHIP_TTL: Duration = Duration::from_millis(4000);
 
-/// Part of the membership's time in which orders are sent. The rest is for the order to arrive.
+/// Fraction of the membership's time in which orders are sent. The rest is for the order to arrive.
 const USABLE_TTL_RATIO: f64 = 0.7;
 
 /// The right to issue orders, which begins with its own record in the log of orders.
@@ -64,7 +64,7 @@
     idle: bool,
 ) -> Result<(Assignment, Duration), Fault> {
     // The membership's time runs from the arrival of the call, so counting from its sending is safe. The shorter time
-    // also counts for a call that asked for the longer one: the next call shortens it.
+    // also counts for a call that requested the longer one: the next call shortens it.
     let until = clock::boot() + MEMBERSHIP_TTL.mul_f64(USABLE_TTL_RATIO);
     let member = state.member();
     let ttl = if idle { IDLE_MEMBERSHIP_TTL } else { MEMBERSHIP_TTL };
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -27,7 +27,7 @@
 /// partition would stay open for minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Idle connections kept per server. More are open at the same time only during a burst.
+/// Limit on the idle connections kept per server. More are open at the same time only during a burst.
 const MAX_IDLE_CONNECTIONS: usize = 16;
 
 /// Time for which an idle connection is reused if its server announces no time-out. Servers close idle connections
@@ -103,7 +103,7 @@
     }
 
     /// Takes an idle connection, if one can still be used.
-    pub fn idle(&self) -> Option<Connection> {
+    pub fn take_idle(&self) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
         idle.retain(|i| i.until > now && i.connection.sender.is_ready());
@@ -112,7 +112,7 @@
 
     /// Takes an idle connection or establishes a new one.
     pub async fn take(&self) -> Result<Connection, Fault> {
-        match self.idle() {
+        match self.take_idle() {
             Some(connection) => Ok(connection),
             None => self.connect().await,
         }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -70,8 +70,9 @@
         &self.peers[0]
     }
 
-    /// Charges the prompt to the meters of the servers that read it and of the links that it crosses. Only called for a
-    /// path that a request is sent along: streams that wait for a retry search for a path many times a second.
+    /// Charges the prompt to the meters of the servers that do its prefill and of the links that it crosses. Only
+    /// called for a path that a request is sent along: streams that wait for a retry search for a path many times a
+    /// second.
     pub fn charge(&mut self, state: &State) {
         self.charges.drain(..).for_each(|charge| charge.apply(state));
         let now = state.now();
@@ -143,8 +144,8 @@
     Some(rest)
 }
 
-/// Returns why there is no path that avoids the servers in `excluded`. The reasons differ in when a caller should come
-/// back: full memory is released sooner than lost layers are loaded.
+/// Returns why there is no path that avoids the servers in `excluded`. The reasons differ in when a caller should
+/// retry: full memory is released sooner than lost layers are loaded.
 pub fn no_path_reason(state: &State, service: &str, model: &Model, excluded: &[String]) -> Reason {
     match covers_all_layers(state, service, model, excluded) {
         true if over_limit(state, service, excluded) => Reason::Limited,
@@ -166,7 +167,7 @@
     covered >= model.shape.layers
 }
 
-/// Whether all servers at which a request could begin have announced limits that are used up.
+/// Whether all servers at which a request could begin have set limits that are used up.
 fn over_limit(state: &State, service: &str, excluded: &[String]) -> bool {
     let now = state.now();
     let mut firsts = state.peers_of(service);
@@ -184,7 +185,9 @@
 
 /// Constraints on the search for a path.
 struct Constraints<'a> {
+    /// First layer to run on the path.
     from: u32,
+    /// Data centre in which the path begins.
     zone: Zone,
     /// Servers that have already done the prefill of the request.
     kept: &'a [Rc<Peer>],
@@ -211,7 +214,7 @@
     let bytes = context_bytes(model, tokens);
     let zone_loads = zone_loads(&peers, now, state.routers());
     let load_of = |zone: Zone| {
-        let found = zone_loads.binary_search_by_key(&zone, |c| c.zone);
+        let found = zone_loads.binary_search_by_key(&zone, |load| load.zone);
         found.map_or(ZoneLoad::unknown(zone, state.routers()), |at| zone_loads[at])
     };
     let holders: Vec<Holder> =
@@ -245,14 +248,14 @@
         let spread = if constraints.from > 0 { spread(random, (from, to)) } else { 0.0 };
         (CROSSING_COST + spread) * total_ms + tokens.answer * shape.cross_ms + millis(waiting)
     };
-    let ask = Query {
+    let query = Query {
         from: constraints.from,
         layers: shape.layers,
         zone: constraints.zone,
         away_ms: REMOTE_START_COST * total_ms,
         cross_ms: &cross_ms,
     };
-    let (parts, _) = path::find(&holders, &ask)?;
+    let (parts, _) = path::find(&holders, &query)?;
     let of = |part: &path::Part| peers[part.server].clone();
     let (mut charges, mut new_context) = (Vec::new(), Vec::new());
     let mut previous = (constraints.from > 0).then_some(constraints.zone);
@@ -319,8 +322,8 @@
     let memory_factor = 1.0 / (1.0 - full * full);
     // Where two servers hold the same layers, the one with fewer of this router's requests is preferred: a loss then
     // breaks half as many, and their prefill is repeated in half the time.
-    let part = (f64::from(peer.running.get()) / zone_load.own.max(1.0)).min(1.0);
-    let balance_factor = 1.0 + BALANCE_COST * part;
+    let own_share = (f64::from(peer.running.get()) / zone_load.own.max(1.0)).min(1.0);
+    let balance_factor = 1.0 + BALANCE_COST * own_share;
     Some(Holder {
         server,
         zone: zone(&entry.zone),
@@ -348,9 +351,9 @@
 fn memory_in_use(peer: &Peer, model: &Model, memory: f64, snapshot: Snapshot) -> f64 {
     let Snapshot { now, zone_load, lasting } = snapshot;
     match peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY) {
-        Some((part, received)) => {
+        Some((fraction, received)) => {
             let at = received.saturating_sub(model.report_lag);
-            let reported = Report { work: part * memory, at, lasting };
+            let reported = Report { work: fraction * memory, at, lasting };
             match zone_load.own > 0.0 {
                 true => reported.estimate(now, &peer.sent_context.borrow(), zone_load.total_ratio),
                 // Without requests of its own this router has no estimate of what the others send.
@@ -368,7 +371,7 @@
 
 /// Returns the fraction of a server's memory for requests that is in use, if it was reported lately.
 pub fn reported_fill(peer: &Peer, now: Duration) -> Option<f64> {
-    peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY).map(|(part, _)| part)
+    peer.filled.get().filter(|(_, at)| now < *at + FILL_VALIDITY).map(|(fraction, _)| fraction)
 }
 
 /// Returns the cost of beginning a request that takes `total_ms` milliseconds at a server, from the last load that the
--- a/crates/gateway/src/route/load.rs
+++ b/crates/gateway/src/route/load.rs
@@ -47,7 +47,8 @@
 }
 
 impl ZoneLoad {
-    /// Load of a data centre without reports. The ratio is assumed to be the square root of the number of routers.
+    /// Returns the load of a data centre without reports. The ratio is assumed to be the square root of the number of
+    /// routers.
     pub(super) fn unknown(zone: Zone, routers: u32) -> ZoneLoad {
         let zone_ratio = f64::from(routers).sqrt();
         ZoneLoad { zone, running: 0.0, own: 0.0, total_ratio: zone_ratio, zone_ratio }
@@ -66,7 +67,7 @@
             continue;
         };
         let zone = zone(&peer.server().zone);
-        let at = match zone_loads.binary_search_by_key(&zone, |c| c.zone) {
+        let at = match zone_loads.binary_search_by_key(&zone, |load| load.zone) {
             Ok(at) => at,
             Err(at) => {
                 zone_loads.insert(
@@ -79,7 +80,8 @@
         zone_loads[at].running += f64::from(running);
         zone_loads[at].own += f64::from(peer.running.get());
     }
-    let all = zone_loads.iter().fold((0.0, 0.0), |all, c| (all.0 + c.running, all.1 + c.own));
+    let all =
+        zone_loads.iter().fold((0.0, 0.0), |all, load| (all.0 + load.running, all.1 + load.own));
     for zone_load in &mut zone_loads {
         zone_load.total_ratio =
             (all.0 / f64::max(all.1, 1.0)).clamp(1.0, f64::from(routers.max(1)));
@@ -118,12 +120,13 @@
 }
 
 impl Charge {
-    /// A prompt that crosses a link between data centres.
+    /// Creates the charge of a prompt that crosses a link between data centres.
     pub(super) fn link(ends: (Zone, Zone), ms: f64, share: f64) -> Charge {
         Charge { target: Target::Link(ends), work: Duration::from_secs_f64(ms / 1e3), share }
     }
 
-    /// The prefill of a prompt through some layers of a server; `None` if its accelerator type is unknown.
+    /// Creates the charge of the prefill of a prompt in some layers of a server; `None` if its accelerator type is
+    /// unknown.
     pub(super) fn prefill(
         peer: &Rc<Peer>,
         model: &Model,
--- a/crates/gateway/src/setup.rs
+++ b/crates/gateway/src/setup.rs
@@ -22,7 +22,7 @@
     pub zone: String,
     /// Where callers connect.
     pub listen: SocketAddr,
-    /// Where the load balancer asks whether to send callers.
+    /// Where the load balancer checks whether to send callers.
     pub ready: SocketAddr,
     /// Where metrics are served.
     pub metrics: Option<SocketAddr>,
@@ -104,7 +104,7 @@
 }
 
 impl Setup {
-    /// Number of other routers that this VM can read the store for.
+    /// Returns the number of other routers that this VM can read the store for.
     ///
     /// ```
     /// # let text = "[process]\nvm=v\ndata-centre=a\nlisten=127.0.0.1:1\nready=127.0.0.1:2\ngrace-s=8\n\
--- a/crates/gateway/src/shared_read.rs
+++ b/crates/gateway/src/shared_read.rs
@@ -114,7 +114,7 @@
     /// Era of the store that all of these belong to, and when it began.
     era: Cell<Era>,
     era_began_at: Cell<Option<Duration>>,
-    /// Woken when there are updates, or another source.
+    /// Notified when there are updates, or another source.
     updated: Notify,
     /// Notices that this router received or announced.
     gossip: RefCell<Gossip>,
@@ -122,7 +122,7 @@
     next_source_notice: Cell<(u64, u64)>,
     /// Number of the next notice to forward to the source.
     next_forwarded: Cell<u64>,
-    /// Woken when there are notices to forward.
+    /// Notified when there are notices to forward.
     notices_pending: Notify,
     /// This router's view of the list of servers.
     view: Cell<Option<View>>,
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Generation of the newest known list of members.
+    /// Returns the generation of the newest known list of members.
     pub fn generation(&self) -> Generation {
         self.roster.borrow().generation
     }
@@ -162,12 +162,12 @@
         *self.incarnation.get_or_init(rand::random)
     }
 
-    /// Number of known members of the group.
+    /// Returns the number of known members of the group.
     pub fn members(&self) -> usize {
         self.roster.borrow().members().len()
     }
 
-    /// Index of this router among the members, and their number, once it is a member.
+    /// Returns the index of this router among the members, and their number, once it is a member.
     pub fn rank(&self) -> Option<(u32, u32)> {
         self.rank.get()
     }
@@ -208,14 +208,14 @@
     sharing.era_began_at.set(Some(state.now()));
     log::info!("gateway: era={era} before={before} dropped offsets={ends:?}");
     sharing.updated.notify_waiters();
-    state.store_returned.notify_waiters();
+    state.store_regained.notify_waiters();
 }
 
 fn position(log: Log) -> Option<usize> {
     LOGS.iter().position(|l| *l == log)
 }
 
-/// Returns where this router reads the store's records from.
+/// Returns the source: where this router reads the store's records from.
 pub fn source(state: &State) -> Source {
     if state.setup.inner.is_none() {
         return Source::Store;
@@ -250,13 +250,13 @@
         && state.sharing.last_answer.get().is_some_and(recently)
 }
 
-/// Pause after a read of the list of servers from the store, if it is `alone` for a router that reads only for itself.
-/// The reader pauses half as long, as its data ages on the way to others.
-fn read_pause(state: &State, alone: Duration) -> Duration {
-    if is_reader(state) { alone / 2 } else { alone }
+/// Returns the pause after a read of the store: `pause` for a router that reads only for itself, and half of that for
+/// the reader, as its data ages on the way to others.
+fn read_pause(state: &State, pause: Duration) -> Duration {
+    if is_reader(state) { pause / 2 } else { pause }
 }
 
-/// Pause between two polls of the source, by the number of routers.
+/// Returns the pause between two polls of the source, by the number of routers.
 ///
 /// ```
 /// # use std::time::Duration;
@@ -267,14 +267,14 @@
     MIN_POLL_PAUSE.mul_f64((f64::from(routers) / ROUTERS_AT_MIN_PAUSE).clamp(1.0, 4.0))
 }
 
-/// Waits after a read of the store, or until the whole list has to be read.
-pub async fn pause_after_read(state: &State, alone: Duration) {
+/// Pauses after a read of the store, at most until the whole list has to be read.
+pub async fn pause_after_read(state: &State, pause: Duration) {
     let wanted = async {
         while !state.sharing.full_read_wanted.get() {
             state.sharing.updated.notified().await;
         }
     };
-    let _ = timeout(read_pause(state, alone), wanted).await;
+    let _ = timeout(read_pause(state, pause), wanted).await;
 }
 
 /// Returns the records of the source, and the offset after the last one it read; waits a moment if there are none.
@@ -321,25 +321,25 @@
     }
 }
 
-/// Caches the newest values of keys up to the offset `end`, for routers that request all of them. `whole` says that the
-/// items are complete: the record of a key's deletion may itself have been deleted. An item that was not `taken`,
-/// because a newer one is known, does not replace the former value: a restored store may hold older ones.
+/// Caches the newest values of keys up to the offset `end`, for routers that request all of them. `complete` says that
+/// the items are those of all keys: the record of a key's deletion may itself have been deleted. An item that was not
+/// `applied`, because a newer one is known, does not replace the former value: a restored store may hold older ones.
 pub fn cache_newest(
     state: &State,
     log: Log,
     items: &[Item],
-    taken: &[bool],
+    applied: &[bool],
     end: Offset,
-    whole: bool,
+    complete: bool,
 ) {
     drop_former_era(state);
     let mut newest = state.sharing.newest.borrow_mut();
     let Some(newest) = position(log).and_then(|at| newest.get_mut(at)) else { return };
     newest.end = Some(end);
-    if whole {
+    if complete {
         newest.values.retain(|(key, _)| items.iter().any(|item| item.key == *key));
     }
-    for (item, _) in items.iter().zip(taken).filter(|(_, taken)| **taken) {
+    for (item, _) in items.iter().zip(applied).filter(|(_, applied)| **applied) {
         let found = newest.values.binary_search_by(|(key, _)| key.cmp(&item.key));
         match (found, &item.value) {
             (Ok(at), Some(value)) => newest.values[at].1 = value.clone(),
--- a/crates/gateway/src/shared_read/client.rs
+++ b/crates/gateway/src/shared_read/client.rs
@@ -27,7 +27,7 @@
 pub(super) const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Time for which a router that did not answer is avoided.
-const SOURCE_AVOIDANCE: Duration = Duration::from_secs(4);
+const SOURCE_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Time within which a router checks whether a store that is reported as unavailable answers it.
 const STORE_CHECK_TIME: Duration = Duration::from_millis(500);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Offsets from which on records are requested; zero where nothing is known yet.
+/// Returns the offsets from which on records are requested; zero where nothing is known yet.
 fn offsets(state: &State) -> [Offset; LOGS.len()] {
     let tails = state.sharing.tails.borrow();
     std::array::from_fn(|at| tails[at].end().unwrap_or_default())
@@ -119,14 +119,14 @@
 
 /// Sends a request to another router and returns the body of the answer.
 pub(crate) async fn get(pool: &Pool, path: &str, body: Bytes) -> Result<Bytes, String> {
-    let mut link = pool.take().await.map_err(|e| e.to_string())?;
+    let mut connection = pool.take().await.map_err(|e| e.to_string())?;
     let mut request = Request::new(Full::new(body));
     *request.uri_mut() = path.parse().expect("names and digits");
-    let answer = link.sender.send_request(request).await.map_err(|e| e.to_string())?;
+    let answer = connection.sender.send_request(request).await.map_err(|e| e.to_string())?;
     let (head, body) = answer.into_parts();
     let body =
         Limited::new(body, MAX_ANSWER_BYTES).collect().await.map_err(|e| e.to_string())?.to_bytes();
-    pool.keep(link, &head.headers);
+    pool.keep(connection, &head.headers);
     match head.status {
         StatusCode::OK => Ok(body),
         status => Err(format!("status {status}")),
@@ -146,7 +146,7 @@
     let oldest = timely.filter_map(|(part, _)| part.age()).max().unwrap_or_default();
     let reported = sharing.store_unavailable.replace(page.store_unavailable);
     if page.store_unavailable {
-        // The source reports at once when the store has returned.
+        // The source reports at once when the store is available again.
         state.record_store_failure(Log::Settings);
         if !reported {
             sharing.reported_unavailable_at.set(now);
@@ -195,7 +195,7 @@
     sharing.source.borrow_mut().take();
     let mut avoided = sharing.avoided.borrow_mut();
     avoided.retain(|(a, until)| now < *until && *a != address);
-    avoided.push((address, now + SOURCE_AVOIDANCE));
+    avoided.push((address, now + SOURCE_BACKOFF));
     drop(avoided);
     sharing.updated.notify_waiters();
 }
--- a/crates/gateway/src/shared_read/gossip.rs
+++ b/crates/gateway/src/shared_read/gossip.rs
@@ -12,7 +12,7 @@
 /// Number of a notice at the router that forwards it.
 pub type Number = u64;
 
-/// Number of notices that are kept: around the loss of a data centre each router announces some tens of servers.
+/// Limit on the notices that are kept: around the loss of a data centre each router announces some tens of servers.
 const MAX_NOTICES: usize = 1024;
 
 /// Time for which notices are kept. Older ones are announced again or out of date.
@@ -78,7 +78,7 @@
         true
     }
 
-    /// Number of the next notice.
+    /// Returns the number of the next notice.
     pub fn next(&self) -> Number {
         self.next
     }
@@ -88,7 +88,7 @@
         (self.kept_from(from).map(|entry| entry.notice.clone()).collect(), self.next)
     }
 
-    /// The same without those that came from the source.
+    /// Returns the same notices without those that came from the source.
     pub fn from_downstream(&self, from: Number) -> (Vec<Bytes>, Number) {
         let downstream = self.kept_from(from).filter(|entry| entry.from == Origin::Downstream);
         (downstream.map(|entry| entry.notice.clone()).collect(), self.next)
--- a/crates/gateway/src/shared_read/server.rs
+++ b/crates/gateway/src/shared_read/server.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Body of a request; none if it is too long or breaks off.
+/// Returns the body of a request; none if it is too long or breaks off.
 async fn read_body(body: Incoming) -> Option<Bytes> {
     match Limited::new(body, MAX_REQUEST_BYTES).collect().await {
         Ok(body) => Some(body.to_bytes()),
@@ -100,7 +100,7 @@
     let check_again = number("answered") == Some(1) && is_store_unavailable(state);
     if check_again {
         state.sharing.store_check_at.set(Some(state.now()));
-        state.store_returned.notify_waiters();
+        state.store_regained.notify_waiters();
     }
     let unavailable = || !check_again && is_store_unavailable(state);
     let no_notices = || state.sharing.gossip.borrow().next() == next_wanted;
--- a/crates/gateway/src/shared_read/tail.rs
+++ b/crates/gateway/src/shared_read/tail.rs
@@ -7,7 +7,7 @@
 
 use crate::store::Offset;
 
-/// Number of records that are kept of each log: all servers of a large fleet may change within some seconds.
+/// Limit on the records that are kept of each log: all servers of a large fleet may change within some seconds.
 const MAX_RECORDS: usize = 4096;
 
 /// Time for which records are kept. A router that lags further behind reads the store.
@@ -23,9 +23,13 @@
 /// meanwhile suspect any server that answers late.
 #[derive(Debug, Default)]
 pub struct Tail {
+    /// First offset from which on all new records are kept.
     base: Offset,
+    /// Offset after the last record read.
     end: Offset,
+    /// Each record, and when this router received it.
     records: VecDeque<(LogRecord, Duration)>,
+    /// When the store was last read, by this router or another one.
     read: Option<Duration>,
 }
 
@@ -101,12 +105,12 @@
         self.records.iter().map(|(record, _)| record.clone()).collect()
     }
 
-    /// Offset after the last one read; none if nothing was read.
+    /// Returns the offset after the last record read; none if nothing was read.
     pub fn end(&self) -> Option<Offset> {
         self.read.map(|_| self.end)
     }
 
-    /// Time since the store was read.
+    /// Returns the time since the store was read.
     pub fn age(&self, now: Duration) -> Option<Duration> {
         self.read.map(|read| now.saturating_sub(read))
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -67,7 +67,7 @@
     routers: RefCell<Routers>,
     /// Whether the list of servers was read once.
     pub servers_read: Cell<bool>,
-    /// When the process was asked to stop.
+    /// When the process received the stop signal.
     pub stopping: Cell<Option<Duration>>,
     /// Callers' open connections.
     pub callers: Cell<u32>,
@@ -75,15 +75,15 @@
     pub serving: Cell<u32>,
     /// Requests to models that found no free server lately.
     pub shortage: RefCell<Shortage>,
-    /// For how long some part of a model has been missing.
+    /// For how long some layers of a model have been missing.
     pub missing: RefCell<Missing>,
     /// New requests that wait until a server has a slot for them.
     pub unplaced_requests: Cell<u32>,
     /// Bytes of request bodies in memory.
     pub body_bytes: Cell<usize>,
-    /// Woken when servers or settings change.
+    /// Notified when servers or settings change.
     pub changed: Notify,
-    /// Woken when a server is suspected.
+    /// Notified when a server is suspected.
     pub server_suspected: Notify,
     /// Traffic that this router sent over the links between data centres, by pair of data centres.
     pub links: RefCell<Vec<((Zone, Zone), Meter)>>,
@@ -93,12 +93,12 @@
     pub stream_duration: Cell<Duration>,
     /// By how much timers are late in this process.
     pub lag: Cell<Duration>,
-    /// The log whose task probes whether the store has returned, while it is unavailable.
+    /// The log whose task probes whether the store is available again, while it is unavailable.
     probing_log: Cell<Option<Log>>,
     /// When the store last answered again after it was unavailable.
     regained: Cell<Duration>,
-    /// Woken when the store answers again.
-    pub store_returned: Notify,
+    /// Notified when the store may be available again, so that failed reads are retried.
+    pub store_regained: Notify,
     /// Last logged line about the layers that data centres lack.
     pub placement: RefCell<String>,
     /// Since when some data centre lacks layers, as the leader sees it.
@@ -111,7 +111,7 @@
     pub sharing: Sharing,
     /// Requests during which servers ended.
     pub crashes: Crashes,
-    /// Ledgers that this router owns for servers that name limits.
+    /// Ledgers that this router owns for servers that set limits.
     pub ledgers: Ledgers,
     /// Retries that this router borrowed from others.
     pub retries: Retries,
@@ -123,7 +123,7 @@
     pub broken_run_lines: RefCell<Quota>,
     /// Notices for the other routers that are still to be sent.
     pub notices: RefCell<Vec<crate::notice::Notice>>,
-    /// Woken when there are notices to send.
+    /// Notified when there are notices to send.
     pub notices_queued: Notify,
     start: Instant,
 }
@@ -157,7 +157,7 @@
             lag: Cell::default(),
             probing_log: Cell::new(None),
             regained: Cell::default(),
-            store_returned: Notify::new(),
+            store_regained: Notify::new(),
             placement: RefCell::default(),
             is_leader: Cell::new(false),
             tenure: RefCell::default(),
@@ -175,12 +175,12 @@
         })
     }
 
-    /// Time since the process started.
+    /// Returns the time since the process started.
     pub fn now(&self) -> Duration {
         self.start.elapsed()
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn settings(&self) -> Option<Rc<Settings>> {
         self.settings.borrow().clone()
     }
@@ -205,25 +205,26 @@
     pub fn record_store_answer(&self) {
         if self.probing_log.take().is_some() {
             self.regained.set(self.now());
-            self.store_returned.notify_waiters();
+            self.store_regained.notify_waiters();
         }
     }
 
-    /// When the store last answered again after it was unavailable.
+    /// Returns when the store last answered again after it was unavailable.
     pub fn store_regained_at(&self) -> Duration {
         self.regained.get()
     }
 
     /// Records that a read of a log failed; returns whether its task is the one to retry soon. If tens of routers each
     /// retried for each log, they would send hundreds of calls a second to a store that answers none, and all of them
-    /// would meet a store that returns. One call shows as much.
+    /// would send their calls at once when the store is available again. One call shows as much.
     pub fn record_store_failure(&self, log: Log) -> bool {
         let probing_log = self.probing_log.get().unwrap_or(log);
         self.probing_log.set(Some(probing_log));
         probing_log == log
     }
 
-    /// Name of this router in the group, which says where the others reach it and what its VM can do.
+    /// Returns the name of this router in the group: its VM, its address, its data centre, and for how many routers it
+    /// can read.
     pub fn member(&self) -> String {
         match self.setup.inner {
             Some(address) => Member {
@@ -242,25 +243,25 @@
         self.stopping.get().is_none() && self.servers_read.get() && self.settings.borrow().is_some()
     }
 
-    /// All servers, sorted by id.
+    /// Returns all servers, sorted by id.
     pub fn peers(&self) -> Vec<Rc<Peer>> {
         self.peers.borrow().clone()
     }
 
-    /// Servers of one service.
+    /// Returns the servers of one service.
     pub fn peers_of(&self, service: &str) -> Vec<Rc<Peer>> {
         let peers = self.peers.borrow();
         peers.iter().filter(|p| p.server().service == service).cloned().collect()
     }
 
-    /// The server with that id.
+    /// Returns the server with that id.
     pub fn peer(&self, id: &str) -> Option<Rc<Peer>> {
         let peers = self.peers.borrow();
         let at = peers.binary_search_by(|p| p.server().id.as_str().cmp(id)).ok()?;
         Some(peers[at].clone())
     }
 
-    /// The server at that address.
+    /// Returns the server at that address.
     pub fn peer_at(&self, address: SocketAddr) -> Option<Rc<Peer>> {
         self.peers.borrow().iter().find(|p| p.server().address == address).cloned()
     }
@@ -281,14 +282,14 @@
         self.peers.borrow_mut().retain(|p| p.server().id != *id);
     }
 
-    /// The last entry of a server that was removed lately, if it belongs to the same start.
+    /// Returns the last entry of a server that was removed lately, if it belongs to the same start.
     pub fn removed(&self, server: &Server) -> Option<Rc<Server>> {
         let gone = self.removed.borrow();
         let same = |gone: &Server| gone.id == server.id && gone.is_same_start(server);
         gone.iter().map(|(gone, _)| gone).find(|gone| same(gone)).cloned()
     }
 
-    /// Last entries of the servers that were removed within a time, and how long ago.
+    /// Returns the last entries of the servers that were removed within a time, and how long ago.
     pub fn removed_within(&self, time: Duration) -> Vec<(Rc<Server>, Duration)> {
         let (now, gone) = (self.now(), self.removed.borrow());
         let ago = gone.iter().map(|(server, at)| (server.clone(), now.saturating_sub(*at)));
@@ -321,27 +322,27 @@
 
     /// Closes all retry budgets; returns what counts of each for the next process, if that is known.
     pub fn close_budgets(&self) -> Option<Vec<(String, Handover)>> {
-        let (now, before) = (self.now(), retries::predecessor(self));
+        let (now, predecessor) = (self.now(), retries::predecessor(self));
         let mut closed = Vec::new();
         for (name, budget) in self.budgets.borrow_mut().iter_mut() {
-            budget.set_predecessor(before);
+            budget.set_predecessor(predecessor);
             closed.extend(budget.close(now).map(|handover| (name.clone(), handover)));
         }
-        before.is_known(now, self.setup.retry_window).then_some(closed)
+        predecessor.is_known(now, self.setup.retry_window).then_some(closed)
     }
 
     /// Records how many routers the group has now.
-    pub fn count_routers(&self, routers: u32) {
+    pub fn record_routers(&self, routers: u32) {
         self.routers.borrow_mut().record(self.now(), routers);
     }
 
-    /// Number of routers that share the retry budget.
+    /// Returns the number of routers that share the retry budget.
     pub fn routers(&self) -> u32 {
         let members = self.sharing.rank().map_or(0, |(_, routers)| routers);
         self.routers.borrow().count(self.now()).max(members)
     }
 
-    /// Retries of a service that this router may still send now.
+    /// Returns the number of retries of a service that this router may still send now.
     pub fn retries_left(&self, service: &str) -> u32 {
         let (now, routers) = (self.now(), self.routers());
         self.budget(service, |budget| budget.left(now, routers))
@@ -358,7 +359,7 @@
     /// Queues a notice to the other routers.
     pub fn announce(&self, notice: crate::notice::Notice) {
         let mut notices = self.notices.borrow_mut();
-        // While the store is unavailable, older notices lose their use.
+        // The queue is bounded: notices that wait long, because the store is unavailable, are of no use any more.
         if notices.len() < 64 {
             notices.push(notice);
         }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -131,7 +131,8 @@
 
 /// Sends calls to the store, one at a time.
 pub struct Client {
-    carry: Box<dyn Fn(Call) -> Pending>,
+    /// Sends a call and returns its outcome.
+    transport: Box<dyn Fn(Call) -> Pending>,
     /// Calls sent, by kind.
     calls: RefCell<Vec<(&'static str, u64)>>,
     /// Calls without a useful answer, by the kind of the call and of the fault.
@@ -146,18 +147,18 @@
     fell_at: Cell<Option<Instant>>,
     /// Since when all answers report a lower era.
     lower_since: Cell<Option<Instant>>,
-    /// Woken when another era begins.
+    /// Notified when another era begins.
     era_changed: Notify,
 }
 
 impl Client {
-    /// Creates a client that hands each call to `carry`.
-    pub fn new<F>(carry: impl Fn(Call) -> F + 'static) -> Client
+    /// Creates a client that sends each call with `transport`.
+    pub fn new<F>(transport: impl Fn(Call) -> F + 'static) -> Client
     where
         F: Future<Output = Answer> + 'static,
     {
         Client {
-            carry: Box::new(move |call| Box::pin(carry(call))),
+            transport: Box::new(move |call| Box::pin(transport(call))),
             calls: RefCell::default(),
             faults: RefCell::default(),
             era: Cell::default(),
@@ -190,7 +191,7 @@
         }
         count(&self.calls, call.kind());
         let answer = tokio::select! {
-            answer = (self.carry)(self.outgoing(call)) => answer,
+            answer = (self.transport)(self.outgoing(call)) => answer,
             // The store may hold an answer back for seconds, and the offset is of no use any more.
             () = self.era_changed.notified(), if is_read => return Err(too_late),
         };
@@ -214,17 +215,17 @@
         }
     }
 
-    /// The era of the store, as far as it is known.
+    /// Returns the era of the store, as far as it is known.
     pub fn era(&self) -> Era {
         self.era.get()
     }
 
-    /// Restores of the store that were detected.
+    /// Returns the number of restores of the store that were detected.
     pub fn restores(&self) -> u64 {
         self.restores.get()
     }
 
-    /// Answers that reported a lower era than the known one, or none that could be read.
+    /// Returns the number of answers that reported a lower era than the known one, or one that could not be read.
     pub fn rejected_eras(&self) -> u64 {
         self.rejected.get()
     }
@@ -289,12 +290,12 @@
         }
     }
 
-    /// Calls sent so far, by kind.
+    /// Returns the number of calls sent so far, by kind.
     pub fn call_counts(&self) -> Vec<(&'static str, u64)> {
         self.calls.borrow().clone()
     }
 
-    /// Calls so far that had no useful answer, by the kind of the call and of the fault.
+    /// Returns the number of calls so far that had no useful answer, by the kind of the call and of the fault.
     pub fn fault_counts(&self) -> Vec<((&'static str, &'static str), u64)> {
         self.faults.borrow().clone()
     }
