--- a/crates/cloud/src/vm.rs
+++ b/crates/cloud/src/vm.rs
@@ -80,7 +80,7 @@
 
     /// Reads the list if its tag is no longer `tag`; returns `None` otherwise. A service without tags
     /// sends the whole list each time.
-    pub async fn changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
+    pub async fn list_if_changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
         let known = [("if-none-match".to_string(), tag.to_string())];
         let headers = if tag.is_empty() { &[][..] } else { &known[..] };
         let answer = self.http.send("GET", "/v1/vms", headers, Default::default()).await?;
