--- a/crates/agent/src/write.rs
+++ b/crates/agent/src/write.rs
@@ -111,7 +111,7 @@
         match writer.find(&key) {
             Some(record) if record.state != State::Open || record.content_hash != content_hash => {
                 agent.node.trace.add(&call.request, "write", describe(&record, &content_hash));
-                return repeat_answer(vm, record, &content_hash);
+                return answer_retry(vm, record, &content_hash);
             }
             Some(record) => {
                 let changed = timeout_at(until, seen.changed()).await;
@@ -144,7 +144,7 @@
 }
 
 /// Returns the answer to a write whose key is no longer open, or was used with other content.
-fn repeat_answer(vm: &str, record: Record, content_hash: &str) -> Result<Reply, Refusal> {
+fn answer_retry(vm: &str, record: Record, content_hash: &str) -> Result<Reply, Refusal> {
     match &record.state {
         _ if record.content_hash != content_hash => {
             let why = "the key was used with another content; nothing was run";
