--- a/crates/cloud/src/vm.rs
+++ b/crates/cloud/src/vm.rs
@@ -80,9 +80,9 @@
 
     /// Reads the list if its tag is no longer `tag`; returns `None` otherwise. A service without tags
     /// sends the whole list each time.
-    pub async fn changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
-        let known = [("if-none-match".to_string(), tag.to_string())];
-        let headers = if tag.is_empty() { &[][..] } else { &known[..] };
+    pub async fn list_if_changed(&self, tag: &str) -> Result<Option<List>, rest::Error> {
+        let if_none_match = [("if-none-match".to_string(), tag.to_string())];
+        let headers = if tag.is_empty() { &[][..] } else { &if_none_match[..] };
         let answer = self.http.send("GET", "/v1/vms", headers, Default::default()).await?;
         if answer.status == NOT_MODIFIED {
             return Ok(None);
--- a/crates/fake/tests/platform.rs
+++ b/crates/fake/tests/platform.rs
@@ -113,9 +113,9 @@
     let fault = vms::Fault { lag_ms: Some(0), ..vms::Fault::default() };
     let () = http.post("/~fake/control", &fault).await.unwrap();
     assert_eq!(client.list().await.unwrap(), [entry("a"), entry("b")]);
-    let list = client.changed("").await.unwrap().unwrap();
+    let list = client.list_if_changed("").await.unwrap().unwrap();
     assert_eq!(list.entries, [entry("a"), entry("b")]);
-    assert_eq!(client.changed(&list.tag).await.unwrap(), None);
+    assert_eq!(client.list_if_changed(&list.tag).await.unwrap(), None);
 }
 
 #[tokio::test]
--- a/crates/node/src/liveness.rs
+++ b/crates/node/src/liveness.rs
@@ -42,23 +42,23 @@
 /// Counts as a waiter for the peer until it is dropped.
 #[derive(Debug)]
 pub struct WaitGuard {
-    waits: Arc<Waiters>,
+    waiters: Arc<Waiters>,
 }
 
 impl Waiters {
     /// Registers a waiter until the returned guard is dropped.
     ///
     /// ```
-    /// let waits = std::sync::Arc::new(node::liveness::Waiters::default());
-    /// let wait = waits.register();
-    /// assert!(waits.any());
+    /// let waiters = std::sync::Arc::new(node::liveness::Waiters::default());
+    /// let wait = waiters.register();
+    /// assert!(waiters.any());
     /// drop(wait);
-    /// assert!(!waits.any());
+    /// assert!(!waiters.any());
     /// ```
     pub fn register(self: &Arc<Waiters>) -> WaitGuard {
         self.count.fetch_add(1, Ordering::AcqRel);
         self.added.notify_one();
-        WaitGuard { waits: self.clone() }
+        WaitGuard { waiters: self.clone() }
     }
 
     /// True while there are waiters.
@@ -69,7 +69,7 @@
 
 impl Drop for WaitGuard {
     fn drop(&mut self) {
-        self.waits.count.fetch_sub(1, Ordering::AcqRel);
+        self.waiters.count.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
@@ -106,14 +106,14 @@
 
 /// Closes the connection if its peer is lost while there are waiters, so that all of them fail at
 /// once. Returns why the connection was closed.
-pub async fn watch(own_ip: IpAddr, connection: Connection, waits: Arc<Waiters>) -> &'static str {
+pub async fn watch(own_ip: IpAddr, connection: Connection, waiters: Arc<Waiters>) -> &'static str {
     let mut last_received = 0;
     let mut silent = 0;
     let mut port = None;
     loop {
-        while !waits.any() {
+        while !waiters.any() {
             tokio::select! {
-                () = waits.added.notified() => {}
+                () = waiters.added.notified() => {}
                 _ = connection.closed() => return "closed",
             }
             (silent, port) = (0, None);
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct Peer {
     connection: tokio::sync::Mutex<Option<Connection>>,
-    waits: Arc<Waiters>,
+    waiters: Arc<Waiters>,
     lost_at: Mutex<Option<Instant>>,
 }
 
@@ -73,7 +73,7 @@
     /// Registers that an answer of a peer is awaited until the returned guard is dropped. If the peer
     /// is lost meanwhile, all streams to it fail within a few hundred milliseconds.
     pub fn register_wait(&self, vm: &str, address: &str) -> WaitGuard {
-        self.peer(vm, address).waits.register()
+        self.peer(vm, address).waiters.register()
     }
 
     /// The connection to a peer; opens a new one if there is none or it is closed. Concurrent calls
@@ -157,7 +157,7 @@
 }
 
 async fn watch(own_ip: IpAddr, vm: String, connection: Connection, peer: Arc<Peer>) {
-    let why = liveness::watch(own_ip, connection.clone(), peer.waits.clone()).await;
+    let why = liveness::watch(own_ip, connection.clone(), peer.waiters.clone()).await;
     if connection.close_reason() == Some(quinn::ConnectionError::LocallyClosed) {
         peer.mark_lost();
         log::warn!("link: connection to {vm} lost: {why}");
--- a/crates/node/src/traffic.rs
+++ b/crates/node/src/traffic.rs
@@ -47,8 +47,8 @@
 
 impl Inner {
     fn remove_closed(&mut self) {
-        let ended = self.open.extract_if(.., |c| c.close_reason().is_some());
-        self.closed = ended.fold(self.closed, |total, c| sum(total, &c));
+        let closed = self.open.extract_if(.., |c| c.close_reason().is_some());
+        self.closed = closed.fold(self.closed, |total, c| sum(total, &c));
     }
 }
 
--- a/crates/node/src/vms.rs
+++ b/crates/node/src/vms.rs
@@ -104,7 +104,7 @@
     let mut list = cloud::vm::List { entries: Vec::new(), tag: String::new() };
     let mut inventory = Inventory::default();
     while !tx.is_closed() {
-        match client.changed(&list.tag).await {
+        match client.list_if_changed(&list.tag).await {
             Ok(changed) => {
                 failing = false;
                 list = changed.unwrap_or(list);
--- a/crates/rest/src/lib.rs
+++ b/crates/rest/src/lib.rs
@@ -124,8 +124,8 @@
     /// Creates a client for `base` (`http://127.0.0.1:9000`); each call fails after `timeout`.
     ///
     /// ```
-    /// let rdr = rest::Client::new("http://127.0.0.1:9000", std::time::Duration::from_secs(2));
-    /// assert_eq!(rdr.base(), "http://127.0.0.1:9000");
+    /// let client = rest::Client::new("http://127.0.0.1:9000", std::time::Duration::from_secs(2));
+    /// assert_eq!(client.base(), "http://127.0.0.1:9000");
     /// ```
     pub fn new(base: &str, timeout: Duration) -> Client {
         let mut connector = HttpConnector::new();
@@ -161,7 +161,7 @@
         let req = self.build(method, path, headers, body)?;
         match tokio::time::timeout(self.timeout, self.exchange(req)).await {
             Ok(answer) => answer,
-            Err(_) => Err(self.lost(format!("no answer within {:?}", self.timeout))),
+            Err(_) => Err(self.lost_error(format!("no answer within {:?}", self.timeout))),
         }
     }
 
@@ -188,7 +188,7 @@
     ) -> Result<T, Error> {
         let body = match method {
             "GET" | "DELETE" => Bytes::new(),
-            _ => serde_json::to_vec(body).map_err(|e| self.decode(e))?.into(),
+            _ => serde_json::to_vec(body).map_err(|e| self.decode_error(e))?.into(),
         };
         let headers = [(header::CONTENT_TYPE.to_string(), "application/json".to_string())];
         let answer = self.send(method, path, &headers, body).await?;
@@ -202,7 +202,7 @@
             return Err(Error::Status { peer: self.base.clone(), status: answer.status, body });
         }
         let raw: &[u8] = if answer.body.is_empty() { b"null" } else { &answer.body };
-        serde_json::from_slice(raw).map_err(|e| self.decode(e))
+        serde_json::from_slice(raw).map_err(|e| self.decode_error(e))
     }
 
     fn build(
@@ -228,7 +228,7 @@
         SENT.fetch_add(size, Ordering::Relaxed);
         let res = self.pool.request(req).await.map_err(|e| match e.is_connect() {
             true => Error::Connect { peer: self.base.clone(), reason: e.to_string() },
-            false => self.lost(e.to_string()),
+            false => self.lost_error(e.to_string()),
         })?;
         let status = res.status().as_u16();
         let headers = res
@@ -238,16 +238,16 @@
             .collect();
         let head = head_size(20, res.headers()) as u64;
         let limited = http_body_util::Limited::new(res.into_body(), BODY_LIMIT);
-        let body = limited.collect().await.map_err(|e| self.lost(e.to_string()))?.to_bytes();
+        let body = limited.collect().await.map_err(|e| self.lost_error(e.to_string()))?.to_bytes();
         RECEIVED.fetch_add(head + body.len() as u64, Ordering::Relaxed);
         Ok(Answer { status, headers, body })
     }
 
-    fn lost(&self, reason: String) -> Error {
+    fn lost_error(&self, reason: String) -> Error {
         Error::Lost { peer: self.base.clone(), reason }
     }
 
-    fn decode(&self, e: serde_json::Error) -> Error {
+    fn decode_error(&self, e: serde_json::Error) -> Error {
         Error::Decode { peer: self.base.clone(), reason: e.to_string() }
     }
 }
--- a/crates/router/src/admission.rs
+++ b/crates/router/src/admission.rs
@@ -109,7 +109,7 @@
     Succeeded,
     /// A VM failed it.
     Fault(Vm),
-    /// It ended for a reason that says nothing about the VMs.
+    /// It ended for a reason unrelated to the VMs.
     Other,
 }
 
--- a/crates/router/src/pool.rs
+++ b/crates/router/src/pool.rs
@@ -121,14 +121,14 @@
         now: Duration,
     ) -> bool {
         let vm = &report.vm;
-        let known = self.vms.binary_search(vm);
+        let position = self.vms.binary_search(vm);
         let Some(range) = self.range(&report.backend) else {
-            if known.is_ok() {
+            if position.is_ok() {
                 self.table.gone(vm, now);
             }
             return false;
         };
-        match known {
+        match position {
             Err(at) => {
                 self.vms.insert(at, vm.clone());
                 match now < WARM_START_PERIOD {
@@ -207,8 +207,8 @@
             (Target::Service(name), Backend::Service(at), _) => (name == at).then_some(0),
             (Target::Model(name), Backend::Stage(stage), Some(model)) => {
                 let same = *name == stage.model && model.version == stage.version;
-                let held = (stage.first, stage.last);
-                model.ranges.iter().position(|r| same && *r == held)
+                let range = (stage.first, stage.last);
+                model.ranges.iter().position(|r| same && *r == range)
             }
             _ => None,
         }
--- a/crates/router/src/service.rs
+++ b/crates/router/src/service.rs
@@ -141,8 +141,8 @@
     priority: u8,
     deadline: Instant,
 ) -> Result<Reply, Refusal> {
-    // Once an agent may have started the call, a later refusal of another agent with outcome not
-    // run says nothing about the first.
+    // Once an agent may have started the call, a refusal of a later agent with outcome not run
+    // does not mean that the first agent did not run it.
     let mut maybe_run: Option<Refusal> = None;
     let mut turn = router.admission.admit(requirements(&call, priority, deadline)).await;
     loop {
--- a/crates/router/src/task.rs
+++ b/crates/router/src/task.rs
@@ -361,7 +361,7 @@
                 None => Pool::new(target, model.clone()),
             };
             if pool.model != model {
-                // The version or the ranges differ: what is known of the agents no longer applies.
+                // The version or the ranges differ: the state of the agents no longer applies.
                 pool.table = table(model.as_ref());
                 pool.vms.clear();
                 pool.model = model;
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -32,7 +32,7 @@
     pub data_centre: String,
     /// Its last report; `None` while it can't be reached.
     pub report: Option<Report>,
-    /// True if the VM list or the agent itself says that it is leaving.
+    /// True if it is leaving, by the VM list or its own report.
     pub leaving: bool,
 }
 
