--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -53,13 +53,13 @@
     pub first_token: Histogram<f64>,
     /// Seconds between tokens.
     pub between_tokens: Histogram<f64>,
-    /// Retries by `cause`.
+    /// Tries of drafts and calls that failed, or whose head was lost.
     pub retries: Counter<u64>,
-    /// Stage replacements by `cause`.
+    /// Stages replaced during a draft.
     pub stages_replaced: Counter<u64>,
     /// Layer runs repeated because a stage's state was lost.
     pub layer_runs_repeated: Counter<u64>,
-    /// Log records that did not decode, by `stream`.
+    /// Log records that could not be decoded.
     pub undecodable_records: Counter<u64>,
     /// Engine crashes detected.
     pub engine_crashes: Counter<u64>,
