--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -197,9 +197,9 @@
 
 /// Decrements the number of remaining faults; returns false if none is left.
 pub fn take_one(left: &mut u32) -> bool {
-    let some = *left > 0;
+    let available = *left > 0;
     *left = left.saturating_sub(1);
-    some
+    available
 }
 
 struct CallHandler<F>(F);
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -140,8 +140,8 @@
 async fn route(service: &Service, call: &Call) -> Result<Reply, Reply> {
     match (call.method.as_str(), call.segments().as_slice()) {
         ("GET", ["~fake", "books"]) => {
-            let part = call.page(serve::lock(&service.state).writes.iter());
-            Ok(Reply::json(200, &part))
+            let page = call.page(serve::lock(&service.state).writes.iter());
+            Ok(Reply::json(200, &page))
         }
         ("GET", ["~fake", "runs"]) => Ok(runs(&serve::lock(&service.state))),
         ("GET", ["~fake", "taken"]) => {
--- a/crates/scenario/src/expect.rs
+++ b/crates/scenario/src/expect.rs
@@ -26,10 +26,10 @@
     let all = table::count(facts.outcomes, |o| !o.judged_by_script);
     let verdict = match what {
         Expect::Answered { min } => {
-            let part = all.right as f64 / all.sent.max(1) as f64;
+            let share = all.right as f64 / all.sent.max(1) as f64;
             let first = facts.outcomes.iter().find(|o| !o.judged_by_script && !o.is_right());
             let first = first.map_or(String::new(), |o| format!(": {} {}", o.id, o.verdict.line()));
-            require(part >= *min, format!("{part:.4} of {} were answered right{first}", all.sent))
+            require(share >= *min, format!("{share:.4} of {} were answered right{first}", all.sent))
         }
         Expect::Right => require_none(history::bad_answers(facts.outcomes)),
         Expect::NoneDoubled => require_none(history::duplicate_runs(&facts.history.runs)),
--- a/crates/scenario/src/history.rs
+++ b/crates/scenario/src/history.rs
@@ -68,8 +68,8 @@
 
 /// Checks that no key ran more than once.
 pub fn duplicate_runs(runs: &Runs) -> Vec<Violation> {
-    let twice = runs.iter().filter(|(_, n)| *n > 1);
-    twice.map(|(key, n)| violation("none-doubled", format!("{key} ran {n} times"))).collect()
+    let repeated = runs.iter().filter(|(_, n)| *n > 1);
+    repeated.map(|(key, n)| violation("none-doubled", format!("{key} ran {n} times"))).collect()
 }
 
 /// Checks that each session ran each position once and in order. Its first position is 0 unless
--- a/crates/scenario/src/load.rs
+++ b/crates/scenario/src/load.rs
@@ -75,8 +75,8 @@
 }
 
 /// Returns the random generator of one line of a script, with the same numbers in every run.
-pub fn random(seed: u64, part: u64) -> Pcg64 {
-    Pcg64::seed_from_u64(seed.wrapping_mul(1 << 20).wrapping_add(part))
+pub fn random(seed: u64, line_index: u64) -> Pcg64 {
+    Pcg64::seed_from_u64(seed.wrapping_mul(1 << 20).wrapping_add(line_index))
 }
 
 fn draw(rng: &mut impl Rng, span: Span) -> u32 {
@@ -89,11 +89,11 @@
     std::iter::once(name).chain(more).collect::<Vec<_>>().join(" ")
 }
 
-/// Returns the jobs of a `drafts` line; `part` numbers the line within its script.
-pub fn drafts(line: &Drafts, layers: u32, seed: u64, part: u64) -> Vec<draft::Job> {
-    let mut rng = random(seed, part);
+/// Returns the jobs of a `drafts` line; `line_index` numbers the line within its script.
+pub fn drafts(line: &Drafts, layers: u32, seed: u64, line_index: u64) -> Vec<draft::Job> {
+    let mut rng = random(seed, line_index);
     let job = |n: usize| draft::Job {
-        prompt: prompt(&mut rng, &format!("draft-{part}-{n}"), prompt_length(line, n)),
+        prompt: prompt(&mut rng, &format!("draft-{line_index}-{n}"), prompt_length(line, n)),
         max_tokens: 0,
         workspace: line.load.from_workspace + n % line.load.workspaces,
         // Each workspace uses all routers, as behind a load balancer.
@@ -115,9 +115,9 @@
 }
 
 /// Returns the jobs of a `lookups` or `orders` line.
-pub fn calls(load: &Load, name: &str, part: u64) -> Vec<write::Job> {
+pub fn calls(load: &Load, name: &str, line_index: u64) -> Vec<write::Job> {
     let job = |n: usize| write::Job {
-        key: format!("{name}-{part}-{n}"),
+        key: format!("{name}-{line_index}-{n}"),
         body: format!("{{\"bands\":{}}}", 100 + n),
         workspace: load.from_workspace + n % load.workspaces,
         router: n / load.workspaces,
@@ -156,18 +156,18 @@
 }
 
 /// Plays a `lookups` line.
-pub async fn play_lookups(caller: Caller, load: Load, part: u64, record: Record) {
+pub async fn play_lookups(caller: Caller, load: Load, line_index: u64, record: Record) {
     let run = |job: write::Job| {
         let caller = caller.clone();
         async move { write::run(&caller, Kind::Lookup, &job).await }
     };
-    run_concurrently(calls(&load, "lookup", part), &load, record, run).await;
+    run_concurrently(calls(&load, "lookup", line_index), &load, record, run).await;
 }
 
 /// Plays an `orders` line.
-pub async fn play_orders(caller: Caller, line: Orders, seed: u64, part: u64, record: Record) {
-    let mut rng = random(seed, part);
-    let jobs: Vec<(write::Job, bool)> = calls(&line.load, "order", part)
+pub async fn play_orders(caller: Caller, line: Orders, seed: u64, line_index: u64, record: Record) {
+    let mut rng = random(seed, line_index);
+    let jobs: Vec<(write::Job, bool)> = calls(&line.load, "order", line_index)
         .into_iter()
         .map(|job| (job, rng.random_bool(line.repeat_through_other_router.clamp(0.0, 1.0))))
         .collect();
--- a/crates/scenario/src/player.rs
+++ b/crates/scenario/src/player.rs
@@ -31,7 +31,7 @@
     programs: Programs,
     dir: PathBuf,
     seed: u64,
-    part: u64,
+    line_index: u64,
     fleet: Option<Arc<Mutex<Fleet>>>,
     caller: Caller,
     record: Record,
@@ -66,7 +66,7 @@
             programs,
             dir,
             seed,
-            part: 0,
+            line_index: 0,
             fleet: None,
             caller: Caller::new(Vec::new()),
             record: Record::default(),
@@ -184,8 +184,8 @@
 
     /// Plays a verb that sends requests; `None` for other verbs.
     async fn send(&mut self, verb: &Verb) -> Option<Result<(), String>> {
-        self.part += 1;
-        let (seed, part) = (self.seed, self.part);
+        self.line_index += 1;
+        let (seed, line_index) = (self.seed, self.line_index);
         let (caller, record) = (self.caller.clone(), self.record.clone());
         let fleet = match self.fleet() {
             Ok(fleet) => fleet,
@@ -194,23 +194,24 @@
         let layers = settings::layers(&fleet.lock().await.plan);
         let (task, background) = match verb {
             Verb::Drafts(line) => {
-                let jobs = load::drafts(line, layers, seed, part);
+                let jobs = load::drafts(line, layers, seed, line_index);
                 let load = line.load.clone();
                 let task = tokio::spawn(load::play_drafts(caller, jobs, load, record));
                 (task, line.load.background)
             }
             Verb::Lookups(line) => {
-                let task = tokio::spawn(load::play_lookups(caller, line.clone(), part, record));
+                let task =
+                    tokio::spawn(load::play_lookups(caller, line.clone(), line_index, record));
                 (task, line.background)
             }
             Verb::Orders(line) => {
-                self.orders.push((part, line.clone()));
+                self.orders.push((line_index, line.clone()));
                 let task =
-                    tokio::spawn(load::play_orders(caller, line.clone(), seed, part, record));
+                    tokio::spawn(load::play_orders(caller, line.clone(), seed, line_index, record));
                 (task, line.load.background)
             }
             Verb::Draft(line) => {
-                return Some(single::draft(&caller, line, layers, part, &record).await);
+                return Some(single::draft(&caller, line, layers, line_index, &record).await);
             }
             Verb::Order(line) if line.background => {
                 let line = line.clone();
--- a/crates/scenario/src/repeat.rs
+++ b/crates/scenario/src/repeat.rs
@@ -20,7 +20,9 @@
     record: &Record,
 ) -> String {
     let first = record.outcomes();
-    let jobs = sent.iter().flat_map(|(part, orders)| load::calls(&orders.load, "order", *part));
+    let jobs = sent
+        .iter()
+        .flat_map(|(line_index, orders)| load::calls(&orders.load, "order", *line_index));
     let tasks = jobs.map(|job| {
         let job = write::Job { router: job.router + 1, ..job };
         async move {
--- a/crates/scenario/src/single.rs
+++ b/crates/scenario/src/single.rs
@@ -17,16 +17,16 @@
     caller: &Caller,
     line: &script::Draft,
     layers: u32,
-    part: u64,
+    line_index: u64,
     record: &Record,
 ) -> Result<(), String> {
-    let part = line.number.unwrap_or(part);
+    let line_index = line.number.unwrap_or(line_index);
     // An engine crashes when the session's tag contains this text; agents put the prompt in the tag.
     let name = match line.crash {
-        true => format!("{}-{part}", fake::engine::CRASH_TAG),
-        false => format!("single-{part}"),
+        true => format!("{}-{line_index}", fake::engine::CRASH_TAG),
+        false => format!("single-{line_index}"),
     };
-    let prompt = load::prompt(&mut load::random(part, 0), &name, line.prompt_words);
+    let prompt = load::prompt(&mut load::random(line_index, 0), &name, line.prompt_words);
     for n in 0..line.times {
         let job = draft::Job {
             prompt: prompt.clone(),
--- a/crates/scenario/src/table.rs
+++ b/crates/scenario/src/table.rs
@@ -161,9 +161,9 @@
 
 /// Returns a line with the refusals that callers received, by title and step.
 fn refusals(outcomes: &[Outcome]) -> String {
-    let mut told: Vec<&String> = outcomes.iter().flat_map(|o| &o.refusals).collect();
-    told.sort_unstable();
-    let each = told.chunk_by(|a, b| a == b);
+    let mut received: Vec<&String> = outcomes.iter().flat_map(|o| &o.refusals).collect();
+    received.sort_unstable();
+    let each = received.chunk_by(|a, b| a == b);
     let lines: Vec<String> = each.map(|same| format!("{} {}", same.len(), same[0])).collect();
     match lines.is_empty() {
         true => String::new(),
@@ -198,7 +198,7 @@
 /// Returns lines with the answered drafts of each workspace and their fairness.
 fn workspace_shares(outcomes: &[Outcome]) -> String {
     let mut text = String::new();
-    let mut served = Vec::new();
+    let mut shares = Vec::new();
     let last = outcomes.iter().map(|o| o.workspace).max().unwrap_or(0);
     for number in 1..=last {
         let drafts = || outcomes.iter().filter(|o| o.kind == Kind::Draft && o.workspace == number);
@@ -206,19 +206,19 @@
         if sent == 0 {
             continue;
         }
-        served.push(right as f64 / sent as f64);
+        shares.push(right as f64 / sent as f64);
         let first = quantiles(drafts().filter_map(Outcome::first_token));
-        let came: u32 = drafts().map(|o| o.retries).sum();
+        let retries: u32 = drafts().map(|o| o.retries).sum();
         let _ = writeln!(
             text,
-            "workspace {number}: {right} of {sent} drafts right, came back {came} times, \
+            "workspace {number}: {right} of {sent} drafts right, came back {retries} times, \
              first token {first}"
         );
     }
     let _ = writeln!(
         text,
         "Jain's index over the workspaces' part answered {:.4}",
-        jain_index(&served)
+        jain_index(&shares)
     );
     text
 }
