--- a/crates/fake/src/serve.rs
+++ b/crates/fake/src/serve.rs
@@ -213,7 +213,7 @@
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let reply = match read(req).await {
             Some(call) => (self.0)(call).await,
-            None => Reply::error(413, "the body is too long or incomplete"),
+            None => Reply::error(413, "the body is too long or was cut off"),
         };
         match reply {
             Reply::Json(status, body) => write(res, status, body),
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -222,7 +222,7 @@
 fn record(state: &Arc<Mutex<State>>, write: Write) -> Result<Reply, Reply> {
     let mut state = serve::lock(state);
     if state.writes.len() >= MAX_WRITES {
-        return Err(Reply::error(507, "the ledger is full"));
+        return Err(Reply::error(507, "the book is full"));
     }
     let number = state.writes.len() as u64;
     let key = write.key.clone();
