--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -240,7 +240,7 @@
     let cross_ms = |from: Zone, to: Zone| {
         let (link, zone_ratio) = (link_meter(state, from, to), load_of(from).zone_ratio);
         let Crossing { max_transfer_ms: limit_ms, max_wait } = constraints.crossing;
-        if transfer > limit_ms || !link.takes(now, MAX_LINK_UTILIZATION, zone_ratio, max_wait) {
+        if transfer > limit_ms || !link.accepts(now, MAX_LINK_UTILIZATION, zone_ratio, max_wait) {
             return f64::INFINITY;
         }
         let waiting = link.waiting(now, MAX_LINK_UTILIZATION / zone_ratio).min(max_wait);
@@ -252,7 +252,7 @@
         from: constraints.from,
         layers: shape.layers,
         zone: constraints.zone,
-        away_ms: REMOTE_START_COST * total_ms,
+        remote_begin_ms: REMOTE_START_COST * total_ms,
         cross_ms: &cross_ms,
     };
     let (parts, _) = path::find(&holders, &query)?;
@@ -308,7 +308,7 @@
     let taken = peer.context.get().max(in_use) + bytes * layers;
     let full = taken / memory.max(1.0);
     let backlog = peer.prefill_backlog.get();
-    let takes_prompt = backlog.takes(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
+    let takes_prompt = backlog.accepts(now, 1.0, zone_load.zone_ratio, MAX_PREFILL_WAIT);
     let backlog = backlog.waiting(now, 1.0 / zone_load.zone_ratio).min(MAX_PREFILL_WAIT);
     // A server that already runs the request is not subject to these limits.
     if !kept && (full > MAX_MEMORY_FILL || !takes_prompt || peer.running.get() >= entry.slots) {
--- a/crates/gateway/src/route/explain.rs
+++ b/crates/gateway/src/route/explain.rs
@@ -43,7 +43,7 @@
             () if !peer.accepts_requests(now) || excluded.contains(&peer.server().id) => {
                 declined += 1
             }
-            () if !peer.prefill_backlog.get().takes(
+            () if !peer.prefill_backlog.get().accepts(
                 now,
                 1.0,
                 zone_load.zone_ratio,
@@ -71,7 +71,7 @@
         found.map_or(ZoneLoad::unknown(from, state.routers()), |at| zone_loads[at]).zone_ratio
     };
     let full = |((from, _), link): &&((Zone, Zone), Meter)| {
-        !link.takes(now, MAX_LINK_UTILIZATION, zone_ratio(*from), MAX_LINK_WAIT)
+        !link.accepts(now, MAX_LINK_UTILIZATION, zone_ratio(*from), MAX_LINK_WAIT)
     };
     let full = links.iter().filter(full).count();
     format!(
--- a/crates/layers/benches/decisions.rs
+++ b/crates/layers/benches/decisions.rs
@@ -22,8 +22,9 @@
         held[order.server].span = order.span;
     }
     let holders: Vec<Holder> = held.iter().enumerate().map(holder).collect();
-    let ask = Query { from: 0, layers: 80, zone: 0, away_ms: 300.0, cross_ms: &|_, _| 500.0 };
-    measure("path", || drop(black_box(find(black_box(&holders), &ask))));
+    let query =
+        Query { from: 0, layers: 80, zone: 0, remote_begin_ms: 300.0, cross_ms: &|_, _| 500.0 };
+    measure("path", || drop(black_box(find(black_box(&holders), &query))));
     measure("first orders", || drop(black_box(plan(black_box(&empty), &SHAPE, false))));
     measure("no orders", || drop(black_box(plan(black_box(&held), &SHAPE, false))));
 }
--- a/crates/layers/src/path.rs
+++ b/crates/layers/src/path.rs
@@ -51,7 +51,7 @@
     pub zone: Zone,
     /// Cost of beginning a new request in another data centre, in milliseconds. Only the text of the request is
     /// sent there, while continuing after another server sends the activations of all tokens read so far.
-    pub away_ms: f64,
+    pub remote_begin_ms: f64,
     /// Cost of continuing from one data centre in another, in milliseconds. Infinite if the link
     /// between them has no capacity left.
     pub cross_ms: &'a dyn Fn(Zone, Zone) -> f64,
@@ -72,13 +72,13 @@
 /// use layers::path::{Query, Holder, find};
 /// use layers::Span;
 /// let holder = |server, from, to| Holder { server, zone: 0, span: Span::new(from, to), layer_ms: 1.0, hop_ms: 0.5, begin_ms: 0.0 };
-/// let ask = Query { from: 0, layers: 8, zone: 0, away_ms: 10.0, cross_ms: &|_, _| 5.0 };
-/// let (path, _) = find(&[holder(0, 0, 4), holder(1, 4, 8)], &ask).unwrap();
+/// let query = Query { from: 0, layers: 8, zone: 0, remote_begin_ms: 10.0, cross_ms: &|_, _| 5.0 };
+/// let (path, _) = find(&[holder(0, 0, 4), holder(1, 4, 8)], &query).unwrap();
 /// assert_eq!(path.len(), 2);
-/// assert!(find(&[holder(0, 0, 4)], &ask).is_none());
+/// assert!(find(&[holder(0, 0, 4)], &query).is_none());
 /// ```
-pub fn find(holders: &[Holder], ask: &Query<'_>) -> Option<(Vec<Part>, f64)> {
-    let cuts = boundaries(holders, ask);
+pub fn find(holders: &[Holder], query: &Query<'_>) -> Option<(Vec<Part>, f64)> {
+    let cuts = boundaries(holders, query);
     // One entry for each boundary and data centre suffices, as the cost of the rest depends on nothing else.
     let mut best: Vec<Vec<Best>> = vec![Vec::new(); cuts.len()];
     for at in 0..cuts.len() {
@@ -86,7 +86,7 @@
             if !holder.span.contains(cuts[at]) {
                 continue;
             }
-            let Some((entry, before)) = enter(&best[at], holder, holders, ask, at) else {
+            let Some((entry, before)) = enter(&best[at], holder, holders, query, at) else {
                 continue;
             };
             for to in at + 1..cuts.len() {
@@ -105,11 +105,11 @@
 }
 
 /// Sorted boundaries of all spans, from the first layer of the query to the end of the model.
-fn boundaries(holders: &[Holder], ask: &Query<'_>) -> Vec<u32> {
-    let mut cuts = vec![ask.from, ask.layers];
+fn boundaries(holders: &[Holder], query: &Query<'_>) -> Vec<u32> {
+    let mut cuts = vec![query.from, query.layers];
     for holder in holders {
         let ends = [holder.span.from, holder.span.to];
-        cuts.extend(ends.into_iter().filter(|&cut| ask.from < cut && cut < ask.layers));
+        cuts.extend(ends.into_iter().filter(|&cut| query.from < cut && cut < query.layers));
     }
     cuts.sort_unstable();
     cuts.dedup();
@@ -121,18 +121,18 @@
     ends: &[Best],
     holder: &Holder,
     holders: &[Holder],
-    ask: &Query<'_>,
+    query: &Query<'_>,
     at: usize,
 ) -> Option<(f64, Option<usize>)> {
     let cross = |before: Zone| match before == holder.zone {
         true => 0.0,
-        false => (ask.cross_ms)(before, holder.zone),
+        false => (query.cross_ms)(before, holder.zone),
     };
     if at == 0 {
-        let cost = match ask.from {
-            0 if holder.zone == ask.zone => holder.begin_ms,
-            0 => ask.away_ms + holder.begin_ms,
-            _ => cross(ask.zone),
+        let cost = match query.from {
+            0 if holder.zone == query.zone => holder.begin_ms,
+            0 => query.remote_begin_ms + holder.begin_ms,
+            _ => cross(query.zone),
         };
         return cost.is_finite().then_some((cost, None));
     }
--- a/crates/layers/src/placement.rs
+++ b/crates/layers/src/placement.rs
@@ -172,7 +172,7 @@
         }
         if copies >= 2 {
             let tokens =
-                most(MAX_CONTEXT_TOKENS, |tokens| sum(tokens) >= copies * self.shape.layers);
+                largest(MAX_CONTEXT_TOKENS, |tokens| sum(tokens) >= copies * self.shape.layers);
             let mut rest = order;
             for _ in 0..copies {
                 rest = self.assign(&rest, all, tokens);
@@ -183,7 +183,7 @@
         let layer = memory * FIRST_COPY_MEMORY_SHARE / f64::from(self.shape.layers)
             - self.shape.layer_bytes;
         let aim = (layer / self.shape.token_bytes).clamp(TARGET_CONTEXT_TOKENS, MAX_CONTEXT_TOKENS);
-        let tokens = most(aim, |tokens| sum(tokens) >= self.shape.layers);
+        let tokens = largest(aim, |tokens| sum(tokens) >= self.shape.layers);
         self.assign(&order, all, tokens);
     }
 
@@ -293,7 +293,7 @@
 
     /// Tokens of context that fit beside these layers on these servers, at most [`TARGET_CONTEXT_TOKENS`].
     fn room(&self, order: &[Index], layers: Span) -> f64 {
-        most(TARGET_CONTEXT_TOKENS, |tokens| {
+        largest(TARGET_CONTEXT_TOKENS, |tokens| {
             let cards = order.iter().map(|i| self.servers[*i].card);
             cards.map(|card| card.capacity(self.shape, tokens)).sum::<u32>() >= layers.len()
         })
@@ -310,12 +310,12 @@
             let server = &self.servers[*i];
             !server.busy && server.span.is_empty() == empty && self.redundant(group, *i)
         };
-        let most = |i: Index| self.servers[i].card.capacity(self.shape, MIN_CONTEXT_TOKENS);
-        let key = |i: &Index| (most(*i) < gap.len(), self.servers[*i].span.len(), most(*i));
+        let capacity = |i: Index| self.servers[i].card.capacity(self.shape, MIN_CONTEXT_TOKENS);
+        let key = |i: &Index| (capacity(*i) < gap.len(), self.servers[*i].span.len(), capacity(*i));
         let Some(server) = members.into_iter().filter(spare).min_by_key(key) else {
             return false;
         };
-        let len = most(server).min(gap.len());
+        let len = capacity(server).min(gap.len());
         if len == 0 {
             return false;
         }
@@ -352,7 +352,7 @@
 }
 
 /// Largest number up to `top` for which `fits` is true, to within `top / 65,536`.
-fn most(top: f64, fits: impl Fn(f64) -> bool) -> f64 {
+fn largest(top: f64, fits: impl Fn(f64) -> bool) -> f64 {
     if fits(top) {
         return top;
     }
--- a/crates/layers/src/placement/copies.rs
+++ b/crates/layers/src/placement/copies.rs
@@ -90,7 +90,7 @@
     };
     let running = |rate: f64| rate * events * event_ms(rate);
     let context = pass.prompt + pass.answer / 2.0;
-    let rate = super::most(top, |rate| running(rate) * context <= tokens);
+    let rate = super::largest(top, |rate| running(rate) * context <= tokens);
     let on_time_rate = rate * (1.0 - event_ms(rate) / (2.0 * shape.pause_ms)).max(0.0);
     Some(Copy { layers, rate, running: running(rate), on_time_rate })
 }
--- a/crates/layers/tests/path.rs
+++ b/crates/layers/tests/path.rs
@@ -10,8 +10,8 @@
     Holder { server, zone, span: Span::new(from, to), layer_ms, hop_ms: 0.1, begin_ms: 0.0 }
 }
 
-fn ask(cross_ms: &dyn Fn(u16, u16) -> f64) -> Query<'_> {
-    Query { from: 0, layers: 8, zone: 0, away_ms: 4.0, cross_ms }
+fn query(cross_ms: &dyn Fn(u16, u16) -> f64) -> Query<'_> {
+    Query { from: 0, layers: 8, zone: 0, remote_begin_ms: 4.0, cross_ms }
 }
 
 struct Case {
@@ -60,7 +60,7 @@
 })]
 fn paths(#[case] case: Case) {
     let cross = |_, _| case.cross;
-    let found = find(&case.holders, &ask(&cross)).map(|(parts, _)| {
+    let found = find(&case.holders, &query(&cross)).map(|(parts, _)| {
         parts.iter().map(|p| (p.server, p.span.from, p.span.to)).collect::<Vec<_>>()
     });
     let same = match (&found, &case.path) {
@@ -79,13 +79,13 @@
 fn continuing_after_a_server_crosses_the_link() {
     let holders = [holder(0, 1, 0, 8, 1.0)];
     let full = |_, _| f64::INFINITY;
-    let start = Query { from: 3, ..ask(&full) };
+    let start = Query { from: 3, ..query(&full) };
     assert!(find(&holders, &start).is_none());
     let slow = |from, to| if (from, to) == (0, 1) { 50.0 } else { f64::INFINITY };
-    let start = Query { from: 3, ..ask(&slow) };
+    let start = Query { from: 3, ..query(&slow) };
     assert!(find(&holders, &start).unwrap().1 > 50.0);
     // A new request sends only the text of its prompt there.
-    assert!(find(&holders, &ask(&full)).is_some());
+    assert!(find(&holders, &query(&full)).is_some());
 }
 
 /// A path that skips a layer, runs one twice or names a server twice would give a wrong answer or be
@@ -103,7 +103,7 @@
             .collect();
         let cross = |_, _| 2.0;
         let held = |layer| holders.iter().any(|h| h.span.contains(layer));
-        let found = find(&holders, &ask(&cross));
+        let found = find(&holders, &query(&cross));
         assert_eq!(found.is_some(), (0..8).all(held), "seed {seed}");
         let Some((parts, cost)) = found else { continue };
         check(&parts, &holders, seed);
@@ -139,8 +139,9 @@
     let others = [holder(1, 0, 40, 80, 1.0), holder(2, 0, 0, 8, 10.0)];
     let begins = |running| {
         let holders = [first(running), others[0], others[1]];
-        let ask = Query { from: 0, layers: 80, zone: 0, away_ms: 350.0, cross_ms: &|_, _| 500.0 };
-        find(&holders, &ask).unwrap().0
+        let query =
+            Query { from: 0, layers: 80, zone: 0, remote_begin_ms: 350.0, cross_ms: &|_, _| 500.0 };
+        find(&holders, &query).unwrap().0
     };
     assert_eq!(begins(20)[0].server, 0);
     let path = begins(191);
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -213,17 +213,17 @@
     (
         "long among short",
         [
-            ("stretch 1", |t| t.stretch = 1.0),
-            ("stretch 2", |_| {}),
-            ("stretch 4", |t| t.stretch = 4.0),
+            ("run weight 1", |t| t.run_weight = 1.0),
+            ("run weight 2", |_| {}),
+            ("run weight 4", |t| t.run_weight = 4.0),
         ],
     ),
     (
         "burst 10x",
         [
-            ("stretch 1", |t| t.stretch = 1.0),
-            ("stretch 2", |_| {}),
-            ("stretch 4", |t| t.stretch = 4.0),
+            ("run weight 1", |t| t.run_weight = 1.0),
+            ("run weight 2", |_| {}),
+            ("run weight 4", |t| t.run_weight = 4.0),
         ],
     ),
     (
@@ -245,9 +245,9 @@
     (
         "workspace 80%",
         [
-            ("quantum 2", |t| t.quantum = 2.0),
+            ("quantum 2", |t| t.quantum_s = 2.0),
             ("quantum 10", |_| {}),
-            ("quantum 50", |t| t.quantum = 50.0),
+            ("quantum 50", |t| t.quantum_s = 50.0),
         ],
     ),
     (
@@ -269,9 +269,9 @@
     (
         "third lost",
         [
-            ("burst 10", |t| t.burst = 10.0),
-            ("burst 50", |_| {}),
-            ("burst 200", |t| t.burst = 200.0),
+            ("burst retries 10", |t| t.burst_retries = 10.0),
+            ("burst retries 50", |_| {}),
+            ("burst retries 200", |t| t.burst_retries = 200.0),
         ],
     ),
     (
--- a/crates/policy/benches/sim/mod.rs
+++ b/crates/policy/benches/sim/mod.rs
@@ -17,7 +17,7 @@
 use policy::queue::Request as Queued;
 use policy::retry::{Failure, Outcome, Retry};
 use policy::route::{self, End};
-use policy::work::{Cost, PREFILL};
+use policy::work::{Cost, PREFILL_TOKENS_PER_STEP};
 
 use fleet::{AGENTS, Agent, CACHE, Router, SLOTS, agent, bound, centre, hash, router, workspace};
 use load::{END, Fault, Load, OWN, Request, SHARED};
@@ -144,7 +144,7 @@
     fn arrive(&mut self, i: usize) {
         let (now, request) = (self.now, &self.requests[i]);
         let router = &mut self.routers[request.router];
-        let cost = Cost { prompt: (SHARED + OWN) * PREFILL, output: request.most };
+        let cost = Cost { prompt: (SHARED + OWN) * PREFILL_TOKENS_PER_STEP, output: request.most };
         let ask = Queued {
             workspace: workspace(request.workspace),
             priority: 5,
@@ -342,7 +342,7 @@
             let lists = counts.iter().map(|c| variant::pick(self.variant.pick, c, turn, rng));
             return Some(lists.collect());
         }
-        let cost = Cost { prompt: (SHARED + OWN) * PREFILL, output: request.most };
+        let cost = Cost { prompt: (SHARED + OWN) * PREFILL_TOKENS_PER_STEP, output: request.most };
         let prefix = Some(hash(request.prefix));
         let from = request.router % 3;
         let left = request.deadline.saturating_sub(self.now);
--- a/crates/policy/src/chain.rs
+++ b/crates/policy/src/chain.rs
@@ -17,10 +17,10 @@
 use crate::replica::Replica;
 use crate::route::Request;
 use crate::tuning::Tuning;
-use crate::work::PREFILL;
+use crate::work::PREFILL_TOKENS_PER_STEP;
 
-/// Entries of a range's list: after one refusal and one loss in transit a third is left.
-pub const CANDIDATES: usize = 3;
+/// Most candidates in a range's list: after one refusal and one loss in transit a third is left.
+pub const MAX_CANDIDATES: usize = 3;
 
 /// Ratio by which the time of a full replica counts above that of an idle one: batches lengthen steps.
 pub const FULL_LOAD_PENALTY: f64 = 0.25;
@@ -82,11 +82,11 @@
         if self.ranges.is_empty() {
             return None;
         }
-        let homes: Vec<Option<usize>> = self.ranges.iter().map(|r| self.home(r)).collect();
-        let mut heads = self.heads(homes[0], rng);
+        let preferred: Vec<Option<usize>> = self.ranges.iter().map(|r| self.preferred(r)).collect();
+        let mut heads = self.heads(preferred[0], rng);
         let mut best: Option<Picked> = None;
         for &head in &heads {
-            let picked = self.complete(head, &homes, rng)?;
+            let picked = self.complete(head, &preferred, rng)?;
             let fits = picked.mismatch <= GOOD_FIT;
             if best.as_ref().is_none_or(|b| picked.mismatch < b.mismatch) {
                 best = Some(picked);
@@ -115,7 +115,7 @@
     }
 
     /// Returns the candidates for the head: those whose chains end before the deadline, if there are any.
-    fn heads(&self, home: Option<usize>, rng: &mut impl Rng) -> Vec<usize> {
+    fn heads(&self, preferred: Option<usize>, rng: &mut impl Rng) -> Vec<usize> {
         let range = &self.ranges[0];
         let steps = f64::from(self.request.cost.steps());
         let left = self.request.left.as_secs_f64() * 1e6;
@@ -123,25 +123,30 @@
         let chain = |quantile| self.ranges.iter().map(|range| range.step_at(quantile)).sum::<f64>();
         let all = steps * chain(1.0) <= left;
         let in_time = |r: &Replica| all || steps * chain(range.quantile(r.step())) <= left;
-        let picks = self.pick(range, &fit, home, in_time, rng);
+        let picks = self.pick(range, &fit, preferred, in_time, rng);
         if !picks.is_empty() {
             return picks;
         }
-        let mut picks = self.pick(range, &fit, home, |_| true, rng);
+        let mut picks = self.pick(range, &fit, preferred, |_| true, rng);
         picks.sort_by(|&a, &b| range.list[a].step().total_cmp(&range.list[b].step()));
         picks
     }
 
     /// Chooses the ranges after the head.
-    fn complete(&self, head: usize, homes: &[Option<usize>], rng: &mut impl Rng) -> Option<Picked> {
+    fn complete(
+        &self,
+        head: usize,
+        preferred: &[Option<usize>],
+        rng: &mut impl Rng,
+    ) -> Option<Picked> {
         let first = &self.ranges[0].list[head];
         let quantile = self.ranges[0].quantile(first.step());
         let mut picked =
             Picked { head, others: Vec::new(), mismatch: 0.0, free_since: first.free_since };
         let (mut from, mut total) = (first.data_centre, 0.0);
-        for (range, home) in self.ranges.iter().zip(homes).skip(1) {
+        for (range, replica) in self.ranges.iter().zip(preferred).skip(1) {
             let fit = Fit { from, mean: range.mean_step(), target: range.step_at(quantile) };
-            let picks = self.pick(range, &fit, *home, |_| true, rng);
+            let picks = self.pick(range, &fit, *replica, |_| true, rng);
             let other = &range.list[*picks.first()?];
             picked.mismatch += self.cost(other, &fit);
             picked.free_since = picked.free_since.min(other.free_since);
@@ -158,7 +163,7 @@
         &self,
         range: &Range,
         fit: &Fit,
-        home: Option<usize>,
+        preferred: Option<usize>,
         suits: impl Fn(&Replica) -> bool,
         rng: &mut impl Rng,
     ) -> Vec<usize> {
@@ -167,23 +172,23 @@
             free => free / (self.cost(r, fit) / fit.mean + self.tuning.cost_smoothing).powi(2),
         };
         let mut weights: Vec<f64> = range.list.iter().map(weight).collect();
-        let mut picks: Vec<usize> = Vec::with_capacity(CANDIDATES + 1);
-        while picks.len() < CANDIDATES {
+        let mut picks: Vec<usize> = Vec::with_capacity(MAX_CANDIDATES + 1);
+        while picks.len() < MAX_CANDIDATES {
             let Some(i) = draw(&weights, rng) else { break };
             weights[i] = 0.0;
             picks.push(i);
         }
-        let home = home.filter(|&i| suits(&range.list[i]));
-        let time = |i: usize| self.time(&range.list[i], fit, home == Some(i));
+        let preferred = preferred.filter(|&i| suits(&range.list[i]));
+        let time = |i: usize| self.time(&range.list[i], fit, preferred == Some(i));
         match picks[..] {
             [a, b, ..] if time(b) < time(a) => picks.swap(0, 1),
             _ => {}
         }
-        match home {
+        match preferred {
             Some(i) if self.request.keyed || picks.first().is_none_or(|&p| time(i) <= time(p)) => {
                 picks.retain(|&p| p != i);
                 picks.insert(0, i);
-                picks.truncate(CANDIDATES);
+                picks.truncate(MAX_CANDIDATES);
             }
             _ => {}
         }
@@ -198,12 +203,12 @@
         }
     }
 
-    /// Returns the replica of the request's prefix or key, when it may take one more.
-    fn home(&self, range: &Range) -> Option<usize> {
+    /// Returns the preferred replica of the request's prefix or key, when it may take one more.
+    fn preferred(&self, range: &Range) -> Option<usize> {
         let usable = |r: &Replica| r.limit(self.now) > 0 && !self.request.avoid.contains(&r.vm);
-        let mut homes = range.homes(self.request.prefix?, usable);
+        let mut replicas = range.preferred(self.request.prefix?, usable);
         let bound = self.tuning.load_bound;
-        homes.find(|&home| self.request.keyed || range.within_bound(home, bound, self.now))
+        replicas.find(|&i| self.request.keyed || range.within_bound(i, bound, self.now))
     }
 
     /// Returns the microseconds that each token costs: the link, and the step time or its distance from the best.
@@ -214,7 +219,8 @@
 
     /// Returns the microseconds that the whole request costs.
     fn time(&self, r: &Replica, fit: &Fit, cached: bool) -> f64 {
-        let prompt = if cached { 0 } else { self.request.cost.prompt.div_ceil(PREFILL) };
+        let prompt =
+            if cached { 0 } else { self.request.cost.prompt.div_ceil(PREFILL_TOKENS_PER_STEP) };
         let load =
             1.0 + self.tuning.full_load_penalty * f64::from(r.busy()) / f64::from(r.slots.max(1));
         let tokens = f64::from(self.request.cost.output) * self.cost(r, fit) * load;
--- a/crates/policy/src/crash.rs
+++ b/crates/policy/src/crash.rs
@@ -163,7 +163,7 @@
     }
 }
 
-/// Requests that completed lately, in two generations: the older one is dropped as a whole.
+/// Requests that completed recently, in two generations: the older one is dropped as a whole.
 #[derive(Debug, Default)]
 struct Completed {
     /// Sorted.
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Lets a request run again by order of an operator; returns whether it was known.
+    /// Allows a request to run again by order of an operator; returns whether it was known.
     pub fn lift(&mut self, fingerprint: Fingerprint, now: Duration) -> bool {
         let known = self.find(fingerprint).is_ok();
         self.clear(fingerprint, now);
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -88,7 +88,7 @@
         now: Duration,
     ) -> Option<f64> {
         let (workspace, own) = (&self.workspaces[i], &self.waiting[i]);
-        let behind = request.run.mul_f64(self.tuning.stretch);
+        let behind = request.run.mul_f64(self.tuning.run_weight);
         let before = own.iter().rev().take_while(|e| e.key <= now + behind);
         let ahead: f64 = before.map(|e| e.request.run.as_secs_f64()).sum();
         let extra = if own.is_empty() { workspace.weight() } else { 0.0 };
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -7,7 +7,7 @@
 //! A fixed limit on the step time fails on mixed accelerators, so a replica is compared with the median of its range.
 //! [`SLOW_FACTOR`] is above the spread of healthy accelerators (a factor of about three) and below the faults that
 //! matter. A replica must be slow in [`FAULTS_TO_EJECT`] reports in a row, since one long batch is no fault. At most
-//! one in [`SLOW_CAP`] is ejected for slowness and one in [`FAIL_CAP`] for failures: when most look bad, the cause is
+//! one in [`SLOW_EJECTION_DIVISOR`] is ejected for slowness and one in [`FAIL_EJECTION_DIVISOR`] for failures: when most look bad, the cause is
 //! elsewhere, and ejecting them would put their load on the rest. Each ejection of a replica lasts twice as long as
 //! the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is probed with one request, and each success doubles
 //! the number of requests allowed.
@@ -23,10 +23,10 @@
 pub const FAULTS_TO_EJECT: u8 = 3;
 
 /// At most one in this many replicas of a range is ejected for slowness.
-pub const SLOW_CAP: usize = 5;
+pub const SLOW_EJECTION_DIVISOR: usize = 5;
 
 /// At most one in this many replicas of a range is ejected for failures.
-pub const FAIL_CAP: usize = 2;
+pub const FAIL_EJECTION_DIVISOR: usize = 2;
 
 /// Length of a first ejection.
 pub const MIN_EJECTION: Duration = Duration::from_secs(5);
@@ -164,8 +164,8 @@
         };
     }
 
-    /// Records a request that failed by the replica's fault: no answer, lost connection, crash; not a refusal for
-    /// want of slots. Returns true when this ejects it.
+    /// Records a request that failed by the replica's fault: no answer, lost connection, crash; not a refusal
+    /// because no slot is free. Returns true when this ejects it.
     pub fn failed(&mut self, peers: Peers, tuning: &Tuning, now: Duration) -> bool {
         self.failed = self.failed.saturating_add(1);
         self.failed >= tuning.faults_to_eject && self.eject(Cause::Failing, peers, tuning, now)
@@ -173,8 +173,8 @@
 
     fn eject(&mut self, cause: Cause, peers: Peers, tuning: &Tuning, now: Duration) -> bool {
         let cap = match cause {
-            Cause::Slow => SLOW_CAP,
-            Cause::Failing => FAIL_CAP,
+            Cause::Slow => SLOW_EJECTION_DIVISOR,
+            Cause::Failing => FAIL_EJECTION_DIVISOR,
         };
         let probing = matches!(self.state(now), State::Probing { .. });
         let live = matches!(self.state(now), State::Live);
--- a/crates/policy/src/meter.rs
+++ b/crates/policy/src/meter.rs
@@ -34,13 +34,13 @@
         self.at = now;
     }
 
-    /// Returns whether this router may send more: what it sent and is not yet done stays below its part of what may
-    /// wait there in all.
+    /// Returns whether this router may send more: what it sent and is not yet done stays below its share
+    /// of what may wait there in all.
     ///
-    /// A router gets one part in `others` of the worker's time, where `others` is what all routers run for one
-    /// request of its own, but a larger part of what may wait there: few routers have a burst at the same moment, and
-    /// with 26 equal routers such a part would be less than a single prompt.
-    pub fn takes(&self, now: Duration, share: f64, others: f64, full: Duration) -> bool {
+    /// A router gets `1 / others` of the worker's time, where `others` is the number of requests that all routers run
+    /// for each one of its own, but a larger share of what may wait there: few routers have a burst at the same time,
+    /// and with 26 equal routers `1 / others` of it would be less than a single prompt.
+    pub fn accepts(&self, now: Duration, share: f64, others: f64, full: Duration) -> bool {
         self.left(now, share / others) <= full.mul_f64(share / others.sqrt())
     }
 
--- a/crates/policy/src/quarantine.rs
+++ b/crates/policy/src/quarantine.rs
@@ -72,7 +72,7 @@
         self.hold = hold;
     }
 
-    /// Lets a request run again by order of an operator.
+    /// Allows a request to run again by order of an operator.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -8,7 +8,7 @@
 //! - A request is admitted only when its estimated wait and its own run fit before its deadline, and refused at once
 //!   otherwise, with the time after which it would fit.
 //! - The order among workspaces is that of [`crate::share`]. Within a workspace requests are ordered by their arrival
-//!   plus [`STRETCH`] times their run: short requests overtake long ones, and a long one is overtaken only for a time
+//!   plus [`RUN_WEIGHT`] times their run: short requests overtake long ones, and a long one is overtaken only for a time
 //!   in proportion to its own length, so neither starves.
 //! - Requests that can no longer meet their deadline are returned by [`Queue::expired`] and never start.
 //!
@@ -27,7 +27,7 @@
 ///
 /// At 0 the order is first come, first served, and short requests wait behind long ones. Large values approach
 /// shortest first, under which long requests starve. See docs/design/decisions.md.
-pub const STRETCH: f64 = 2.0;
+pub const RUN_WEIGHT: f64 = 2.0;
 
 /// A waiting request is refused when its estimated end is late by more than this ratio of the time left to its
 /// deadline. The estimate is coarse; at 0 requests that would meet their deadline are refused.
@@ -51,7 +51,7 @@
 /// // A request has ended, so a slot is free.
 /// let entry = queue.next(Room { free: 1, ..full }, secs(1)).unwrap();
 /// assert_eq!(entry.item, "a draft");
-/// // The agent refused it for want of slots: it keeps its place, and nothing is lost.
+/// // The agent refused it, as it had no free slot: it keeps its place, and nothing is lost.
 /// queue.requeue(entry);
 /// assert_eq!((queue.waiting(), queue.running()), (1, 0));
 /// // It can no longer end before its deadline.
@@ -169,7 +169,7 @@
             return Admit::Refuse(item, refusal);
         }
         self.tickets += 1;
-        let key = now + request.run.mul_f64(self.tuning.stretch);
+        let key = now + request.run.mul_f64(self.tuning.run_weight);
         let entry = Entry { request, arrival: now, ticket: self.tickets, item, key };
         match self.backlogged() || !room.may_start(self.running, self.tuning.free_reserve_ratio) {
             true => Admit::Wait(self.insert(i, entry)),
@@ -200,7 +200,7 @@
         }
         loop {
             let heads = self.workspaces.iter().enumerate().filter_map(|(i, w)| w.head(i));
-            let i = self.clock.pick(heads, self.tuning.quantum, |i| {
+            let i = self.clock.pick(heads, self.tuning.quantum_s, |i| {
                 self.waiting[i].last().map_or(0, |e| affinity(&e.item))
             })?;
             let entry = self.take(i, self.waiting[i].len() - 1);
--- a/crates/policy/src/range.rs
+++ b/crates/policy/src/range.rs
@@ -89,16 +89,17 @@
         Peers { replicas: self.list.len(), ejected, median_us }
     }
 
-    /// Returns the replicas that a prefix or key belongs to among those for which `usable` is true, best first.
-    pub(crate) fn homes(
+    /// Returns the preferred replicas of a prefix or key among those for which `usable` is true, best first.
+    pub(crate) fn preferred(
         &self,
         prefix: Prefix,
         usable: impl Fn(&Replica) -> bool,
-    ) -> std::iter::Flatten<std::array::IntoIter<Option<usize>, { affinity::HOMES }>> {
-        let mut best = [(f64::NEG_INFINITY, None); affinity::HOMES];
+    ) -> std::iter::Flatten<std::array::IntoIter<Option<usize>, { affinity::REPLICAS_PER_PREFIX }>>
+    {
+        let mut best = [(f64::NEG_INFINITY, None); affinity::REPLICAS_PER_PREFIX];
         for (i, r) in self.list.iter().enumerate().filter(|(_, r)| usable(r)) {
             let mut next = (affinity::rank(prefix, r.seed, r.slots), Some(i));
-            if next.0 <= best[affinity::HOMES - 1].0 {
+            if next.0 <= best[affinity::REPLICAS_PER_PREFIX - 1].0 {
                 continue;
             }
             for place in &mut best {
--- a/crates/policy/src/replica.rs
+++ b/crates/policy/src/replica.rs
@@ -47,7 +47,7 @@
     pub(crate) ramp: Ramp,
     pub(crate) leaving: bool,
     pub(crate) gone: bool,
-    /// When it last refused for want of slots; a report taken before then doesn't show it.
+    /// When it last refused because no slot was free; a report taken before then doesn't show it.
     full: Option<Duration>,
     /// Since when it has a free slot.
     pub(crate) free_since: Duration,
@@ -93,7 +93,7 @@
         self.changes.push((now, by));
     }
 
-    /// Records a refusal for want of slots.
+    /// Records a refusal because no slot was free.
     pub(crate) fn refused(&mut self, now: Duration) {
         self.change(-1, now);
         self.full = Some(now);
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -5,7 +5,7 @@
 //! storm).
 //!
 //! A request is retried only if it was not run or may run twice. Each retry costs a whole token of a bucket to which
-//! each success adds [`RATIO`]: in the long run retries are at most that part of the work, and at most [`BURST`] at
+//! each success adds [`RETRY_RATIO`]: in the long run retries are at most that ratio of the work, and at most [`BURST_RETRIES`] at
 //! once. Full jitter spreads them: with a fixed backoff all callers of a lost server would come back together. No
 //! retry starts that can't end by the deadline.
 
@@ -17,7 +17,7 @@
 use crate::tuning::Tuning;
 
 /// Tokens that a success adds.
-pub const RATIO: f64 = 0.1;
+pub const RETRY_RATIO: f64 = 0.1;
 
 /// Tokens that a success adds to the bucket for refusals. Few, because the next replica of a list matches the chain
 /// worse than the first, so that in a full fleet a request had better go back to the queue (at 1.0 the simulator
@@ -25,7 +25,7 @@
 pub const REFUSAL_RATIO: f64 = 0.1;
 
 /// Capacity of the bucket in tokens; it starts full.
-pub const BURST: f64 = 50.0;
+pub const BURST_RETRIES: f64 = 50.0;
 
 /// Upper end of the first backoff.
 pub const BASE_BACKOFF: Duration = Duration::from_millis(20);
@@ -96,13 +96,13 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { tokens: BURST, ratio: RATIO, burst: BURST }
+        Budget { tokens: BURST_RETRIES, ratio: RETRY_RATIO, burst: BURST_RETRIES }
     }
 }
 
 impl Budget {
-    /// Creates a separate bucket for tries at the next replica after a refusal for want of slots. Counted with the
-    /// failures, these would empty the bucket just when a loss needs it.
+    /// Creates a separate bucket for tries at the next replica after a refusal because no slot was free. Counted with
+    /// the failures, these would empty the bucket just when a loss needs it.
     ///
     /// ```
     /// assert!(policy::retry::Budget::refusals().take());
@@ -113,7 +113,11 @@
 
     /// Creates a full bucket with other thresholds.
     pub fn tuned(tuning: &Tuning) -> Budget {
-        Budget { tokens: tuning.burst, ratio: tuning.retry_ratio, burst: tuning.burst }
+        Budget {
+            tokens: tuning.burst_retries,
+            ratio: tuning.retry_ratio,
+            burst: tuning.burst_retries,
+        }
     }
 
     /// Records a request that succeeded.
@@ -121,7 +125,7 @@
     /// ```
     /// let mut budget = policy::retry::Budget::default();
     /// budget.succeeded();
-    /// assert_eq!(budget.left(), policy::retry::BURST as u32);
+    /// assert_eq!(budget.left(), policy::retry::BURST_RETRIES as u32);
     /// ```
     pub fn succeeded(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -12,9 +12,9 @@
 ///
 /// Without this a router that joins a saturated fleet gets nothing: a freed slot is known first to the router whose
 /// request has ended, and that one has a request waiting.
-pub const OVER_SHARE: f64 = 1.05;
+pub const OVER_SHARE_RATIO: f64 = 1.05;
 
-/// Ratio of the slots that a router past [`OVER_SHARE`] leaves free.
+/// Ratio of the slots that a router past [`OVER_SHARE_RATIO`] leaves free.
 pub const FREE_RESERVE_RATIO: f64 = 0.02;
 
 /// Free and total slots of the fleet for this queue, see [`crate::route::Table::room`].
@@ -52,7 +52,7 @@
     /// ```
     pub fn may_start(&self, running: u32, free_reserve_ratio: f64) -> bool {
         let even = f64::from(self.slots) / f64::from(self.routers.max(1));
-        let over = self.routers > 1 && f64::from(running) > even * OVER_SHARE;
+        let over = self.routers > 1 && f64::from(running) > even * OVER_SHARE_RATIO;
         let left = if over { (f64::from(self.slots) * free_reserve_ratio).ceil() } else { 0.0 };
         f64::from(self.free) > left
     }
--- a/crates/policy/src/route.rs
+++ b/crates/policy/src/route.rs
@@ -4,8 +4,8 @@
 //! each router takes the replica that looks least busy, all take the same one until the next report, then all the
 //! next one (herding): refusals at one, idle slots at the rest.
 //!
-//! - The load of a replica is its last report plus what this router started and minus what ended since. A refusal for
-//!   want of slots makes it count as full until the next report or end.
+//! - The load of a replica is its last report plus what this router started and minus what ended since. A refusal
+//!   because no slot is free makes it count as full until the next report or end.
 //! - Of the replicas with a free slot a few are drawn at random, by free slots and fitness, and the better of the
 //!   first two goes first: power of two choices, which herds little on old reports. The others follow as
 //!   alternatives, for the try after a refusal.
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Records that the VM refused a request for want of slots, after [`Table::started`].
+    /// Records that the VM refused a request because no slot was free, after [`Table::started`].
     pub fn refused(&mut self, vm: &str, now: Duration) {
         if let Some((range, i)) = self.find(vm) {
             self.ranges[range].list[i].refused(now);
@@ -265,7 +265,7 @@
     /// [`crate::queue::Queue::next_by`].
     pub fn cached_ranges(&self, prefix: Prefix, now: Duration) -> u32 {
         let free = |range: &&Range| {
-            range.homes(prefix, |r| r.limit(now) > 0).any(|i| range.list[i].free(now) > 0)
+            range.preferred(prefix, |r| r.limit(now) > 0).any(|i| range.list[i].free(now) > 0)
         };
         self.ranges.iter().filter(free).count() as u32
     }
--- a/crates/policy/src/share.rs
+++ b/crates/policy/src/share.rs
@@ -4,7 +4,7 @@
 //! behind that flood and misses its deadlines.
 //!
 //! Each workspace has a virtual time that grows by the slot time it was given divided by its weight (start-time fair
-//! queueing). Those within [`QUANTUM`] of the least served waiting one are ordered by priority and then by the
+//! queueing). Those within [`QUANTUM_S`] of the least served waiting one are ordered by priority and then by the
 //! earlier virtual finish, so that priority can't be used to take another workspace's share. Only workspaces with
 //! waiting requests are compared: unused share is lent, never left idle. A workspace that returns after a pause
 //! starts at the virtual time then served: it neither accumulates what it didn't use nor pays for what was lent to
@@ -17,7 +17,7 @@
 /// Slot time in seconds, for a weight of one, by which a workspace may be ahead of the least served one and still go
 /// before it by priority or shortness. About one draft of medium length: with less, priority has no effect; more is a
 /// debt that the others wait for.
-pub const QUANTUM: f64 = 10.0;
+pub const QUANTUM_S: f64 = 10.0;
 
 /// Number of workspaces compared by how well their next request suits the free slots. More find better matches, but
 /// each costs a hash for each replica.
--- a/crates/policy/src/tuning.rs
+++ b/crates/policy/src/tuning.rs
@@ -26,22 +26,22 @@
     pub faults_to_eject: u8,
     /// [`health::MIN_EJECTION`].
     pub min_ejection: Duration,
-    /// [`queue::STRETCH`].
-    pub stretch: f64,
+    /// [`queue::RUN_WEIGHT`].
+    pub run_weight: f64,
     /// [`estimate::OVERTAKING_FACTOR`].
     pub overtaking_factor: f64,
     /// [`estimate::MAX_WAIT_RATIO`].
     pub max_wait_ratio: f64,
     /// [`queue::LATENESS_TOLERANCE`].
     pub lateness_tolerance: f64,
-    /// [`share::QUANTUM`].
-    pub quantum: f64,
+    /// [`share::QUANTUM_S`].
+    pub quantum_s: f64,
     /// [`ramp::DOUBLING_TIME`].
     pub doubling_time: Duration,
-    /// [`retry::RATIO`].
+    /// [`retry::RETRY_RATIO`].
     pub retry_ratio: f64,
-    /// [`retry::BURST`].
-    pub burst: f64,
+    /// [`retry::BURST_RETRIES`].
+    pub burst_retries: f64,
     /// [`room::FREE_RESERVE_RATIO`].
     pub free_reserve_ratio: f64,
 }
@@ -57,14 +57,14 @@
             slow_factor: health::SLOW_FACTOR,
             faults_to_eject: health::FAULTS_TO_EJECT,
             min_ejection: health::MIN_EJECTION,
-            stretch: queue::STRETCH,
+            run_weight: queue::RUN_WEIGHT,
             overtaking_factor: estimate::OVERTAKING_FACTOR,
             max_wait_ratio: estimate::MAX_WAIT_RATIO,
             lateness_tolerance: queue::LATENESS_TOLERANCE,
-            quantum: share::QUANTUM,
+            quantum_s: share::QUANTUM_S,
             doubling_time: ramp::DOUBLING_TIME,
-            retry_ratio: retry::RATIO,
-            burst: retry::BURST,
+            retry_ratio: retry::RETRY_RATIO,
+            burst_retries: retry::BURST_RETRIES,
             free_reserve_ratio: room::FREE_RESERVE_RATIO,
         }
     }
--- a/crates/policy/src/work.rs
+++ b/crates/policy/src/work.rs
@@ -12,7 +12,7 @@
 /// Prompt positions are known in advance and go through a layer together, so one costs a small part of a generated
 /// token. 16 is conservative: engines reach more, and an estimate that is too long refuses a little early while one
 /// that is too short breaks deadlines.
-pub const PREFILL: u32 = 16;
+pub const PREFILL_TOKENS_PER_STEP: u32 = 16;
 
 /// Tokens of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,14 +24,14 @@
 }
 
 impl Cost {
-    /// Returns the steps of the whole chain, with the prompt in parts of [`PREFILL`].
+    /// Returns the steps of the whole chain, with the prompt in parts of [`PREFILL_TOKENS_PER_STEP`].
     ///
     /// ```
     /// use policy::work::Cost;
     /// assert_eq!(Cost { prompt: 160, output: 100 }.steps(), 110);
     /// ```
     pub fn steps(&self) -> u32 {
-        self.prompt.div_ceil(PREFILL).saturating_add(self.output)
+        self.prompt.div_ceil(PREFILL_TOKENS_PER_STEP).saturating_add(self.output)
     }
 
     /// Returns the time for which the request holds its slots when a step of the whole chain takes `step`.
--- a/crates/policy/tests/demand.rs
+++ b/crates/policy/tests/demand.rs
@@ -40,7 +40,7 @@
             demand.record(now);
             let share = demand.share(now, load.transfer, USABLE_RATIO, load.routers as u32);
             let chosen = !chosen || random.random::<f64>() < share;
-            if !chosen || !meter.takes(now, USABLE_RATIO, others, Duration::from_millis(250)) {
+            if !chosen || !meter.accepts(now, USABLE_RATIO, others, Duration::from_millis(250)) {
                 continue;
             }
             meter.add(now, load.transfer, USABLE_RATIO / others);
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -6,7 +6,7 @@
 use policy::limit::{Admit, Kind, Objective, Slots};
 use policy::link::Links;
 use policy::quarantine::{List, MAX_FINGERPRINTS, Verdict};
-use policy::retry::{BURST, Budget, Failure, Outcome, Retry, Stop};
+use policy::retry::{BURST_RETRIES, Budget, Failure, Outcome, Retry, Stop};
 use policy::route::{End, Load, Request, Table};
 use policy::work::Cost;
 use rand::SeedableRng;
@@ -228,7 +228,7 @@
         matches!(budget.decide(&failure, Duration::ZERO, &mut rng), Retry::After(_))
     };
     let first = (0..1000).filter(|_| retry(&mut budget)).count();
-    assert_eq!(first, BURST as usize);
+    assert_eq!(first, BURST_RETRIES as usize);
     (0..100).for_each(|_| budget.succeeded());
     let next = (0..1000).filter(|_| retry(&mut budget)).count();
     assert!((9..=10).contains(&next), "{next} retries after 100 successes");
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -125,7 +125,7 @@
         let now = Duration::from_millis(10 * tick);
         waiting = (waiting - 10.0).max(0.0);
         for meter in &mut meters {
-            if meter.takes(now, share, others, full) {
+            if meter.accepts(now, share, others, full) {
                 meter.add(now, prompt, share / others);
                 waiting += 14.0;
                 sent += prompt;
