--- a/crates/layers/src/path.rs
+++ b/crates/layers/src/path.rs
@@ -71,7 +71,9 @@
 /// ```
 /// use layers::path::{Query, Holder, find};
 /// use layers::Span;
-/// let holder = |server, from, to| Holder { server, zone: 0, span: Span::new(from, to), layer_ms: 1.0, hop_ms: 0.5, begin_ms: 0.0 };
+/// let holder = |server, from, to| Holder {
+///     server, zone: 0, span: Span::new(from, to), layer_ms: 1.0, hop_ms: 0.5, begin_ms: 0.0,
+/// };
 /// let query = Query { from: 0, layers: 8, zone: 0, remote_begin_ms: 10.0, cross_ms: &|_, _| 5.0 };
 /// let (path, _) = find(&[holder(0, 0, 4), holder(1, 4, 8)], &query).unwrap();
 /// assert_eq!(path.len(), 2);
--- a/crates/policy/src/affinity.rs
+++ b/crates/policy/src/affinity.rs
@@ -16,8 +16,8 @@
 /// its replica. See the sweep in docs/design/decisions.md.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// Number of replicas of a range that a prefix prefers, as one does not always have a free slot: with more, a free slot more often
-/// suits a waiting prefix, but each engine's cache has to hold more prefixes.
+/// Number of replicas of a range that a prefix prefers, as a single one does not always have a free slot: with more, a
+/// free slot more often suits a waiting prefix, but each engine's cache has to hold more prefixes.
 pub const REPLICAS_PER_PREFIX: usize = 5;
 
 /// Hash of the text that a prompt begins with, or of a call's key.
--- a/crates/policy/src/demand.rs
+++ b/crates/policy/src/demand.rs
@@ -1,10 +1,10 @@
 //! The ratio of the requests for a shared worker that may be sent to it.
 //!
 //! Load pattern: a data centre loses a layer, and all requests of all routers need the same link to another one at
-//! the same moment. The meter of what this router sent ([`crate::meter`]) is empty then, so each router sends one transfer, and as many
-//! wait for the link as there are routers: all of them are late, where a tenth would have been on time and the rest
-//! could have been refused at once. So each router sends a ratio of its requests such that all routers together fill
-//! the worker.
+//! the same moment. The meter of what this router sent ([`crate::meter`]) is empty then, so each router sends one
+//! transfer, and as many wait for the link as there are routers: all of them are late, where a tenth would have been
+//! on time and the rest could have been refused at once. So each router sends a ratio of its requests such that all
+//! routers together fill the worker.
 
 use std::time::Duration;
 
--- a/crates/policy/src/health.rs
+++ b/crates/policy/src/health.rs
@@ -7,10 +7,10 @@
 //! A fixed limit on the step time fails on mixed accelerators, so a replica is compared with the median of its range.
 //! [`SLOW_FACTOR`] is above the spread of healthy accelerators (a factor of about three) and below the faults that
 //! matter. A replica must be slow in [`FAULTS_TO_EJECT`] reports in a row, since one long batch is no fault. At most
-//! one in [`SLOW_EJECTION_DIVISOR`] is ejected for slowness and one in [`FAIL_EJECTION_DIVISOR`] for failures: when most look bad, the cause is
-//! elsewhere, and ejecting them would put their load on the rest. Each ejection of a replica lasts twice as long as
-//! the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is probed with one request, and each success doubles
-//! the number of requests allowed.
+//! one in [`SLOW_EJECTION_DIVISOR`] is ejected for slowness and one in [`FAIL_EJECTION_DIVISOR`] for failures: when
+//! most look bad, the cause is elsewhere, and ejecting them would put their load on the rest. Each ejection of a
+//! replica lasts twice as long as the last, from [`MIN_EJECTION`] to [`MAX_EJECTION`]; then it is probed with one
+//! request, and each success doubles the number of requests allowed.
 
 use std::time::Duration;
 
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -8,8 +8,8 @@
 //! - A request is admitted only when its estimated wait and its own run fit before its deadline, and refused at once
 //!   otherwise, with the time after which it would fit.
 //! - The order among workspaces is that of [`crate::share`]. Within a workspace requests are ordered by their arrival
-//!   plus [`RUN_WEIGHT`] times their run: short requests overtake long ones, and a long one is overtaken only for a time
-//!   in proportion to its own length, so neither starves.
+//!   plus [`RUN_WEIGHT`] times their run: short requests overtake long ones, and a long one is overtaken only for a
+//!   time in proportion to its own length, so neither starves.
 //! - Requests that can no longer meet their deadline are returned by [`Queue::expired`] and never start.
 //!
 //! The wait is estimated from slot time: the work ahead divided by the slots that this router has in use, which under
--- a/crates/policy/src/retry.rs
+++ b/crates/policy/src/retry.rs
@@ -5,9 +5,9 @@
 //! storm).
 //!
 //! A request is retried only if it was not run or may run twice. Each retry costs a whole token of a bucket to which
-//! each success adds [`RETRY_RATIO`]: in the long run retries are at most that ratio of the work, and at most [`BURST_RETRIES`] at
-//! once. Full jitter spreads them: with a fixed backoff all callers of a lost server would come back together. No
-//! retry starts that can't end by the deadline.
+//! each success adds [`RETRY_RATIO`]: in the long run retries are at most that ratio of the work, and at most
+//! [`BURST_RETRIES`] at once. Full jitter spreads them: with a fixed backoff all callers of a lost server would come
+//! back together. No retry starts that can't end by the deadline.
 
 use std::time::Duration;
 
--- a/crates/policy/tests/admission.rs
+++ b/crates/policy/tests/admission.rs
@@ -18,7 +18,7 @@
     Queue::new(vec![share("a", 1, 100), share("b", 1, 3), share("c", 3, 100)])
 }
 
-fn ask(workspace: &str, run: u64, deadline: u64) -> Request {
+fn request(workspace: &str, run: u64, deadline: u64) -> Request {
     Request { workspace: workspace.into(), priority: 5, run: secs(run), deadline: secs(deadline) }
 }
 
@@ -40,39 +40,39 @@
 
 struct Refused {
     ahead: usize,
-    ask: Request,
+    request: Request,
     room: Room,
     reason: Option<Reason>,
 }
 
-// A request is admitted though it can't meet its deadline: the caller waits in vain, and learns it too late to go
-// elsewhere.
+// A request that can't meet its deadline must be refused at once. If it were admitted, its caller would wait in vain
+// and learn this too late to go elsewhere.
 #[rstest]
-#[case(Refused { ahead: 0, ask: ask("a", 5, 9), room: FULL, reason: None })]
-#[case(Refused { ahead: 0, ask: ask("a", 10, 9), room: FULL, reason: Some(Reason::Long) })]
-#[case(Refused { ahead: 20, ask: ask("a", 4, 20), room: FULL, reason: Some(Reason::Deadline) })]
-#[case(Refused { ahead: 20, ask: ask("a", 4, 200), room: FULL, reason: None })]
-#[case(Refused { ahead: 3, ask: ask("b", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
-#[case(Refused { ahead: 0, ask: ask("unknown", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
-#[case(Refused { ahead: 0, ask: ask("a", 4, 200), room: NONE, reason: Some(Reason::Outage) })]
+#[case(Refused { ahead: 0, request: request("a", 5, 9), room: FULL, reason: None })]
+#[case(Refused { ahead: 0, request: request("a", 10, 9), room: FULL, reason: Some(Reason::Long) })]
+#[case(Refused { ahead: 20, request: request("a", 4, 20), room: FULL, reason: Some(Reason::Deadline) })]
+#[case(Refused { ahead: 20, request: request("a", 4, 200), room: FULL, reason: None })]
+#[case(Refused { ahead: 3, request: request("b", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
+#[case(Refused { ahead: 0, request: request("unknown", 4, 200), room: FULL, reason: Some(Reason::Limit) })]
+#[case(Refused { ahead: 0, request: request("a", 4, 200), room: NONE, reason: Some(Reason::Outage) })]
 fn refuses_at_once_what_would_miss_its_deadline(#[case] case: Refused) {
     let mut queue = queue();
     for i in 0..case.ahead {
-        let ahead = ask(&case.ask.workspace, 4, 1000);
+        let ahead = request(&case.request.workspace, 4, 1000);
         queue.admit(ahead, i as u32, FULL, Duration::ZERO);
     }
-    let admit = queue.admit(case.ask, 99, case.room, Duration::ZERO);
+    let admit = queue.admit(case.request, 99, case.room, Duration::ZERO);
     assert_eq!(refusal(admit).map(|r| r.reason), case.reason);
 }
 
-// A refusal names a time to come back at which the caller is refused again: callers learn to ignore it and come back
-// at once.
+// A caller that comes back at the time that its refusal gives must be admitted. If it were refused again, callers would
+// ignore that time and come back at once.
 #[test]
 fn a_caller_that_comes_back_at_the_given_time_is_admitted() {
     let mut queue = queue();
     let mut fill = 0;
     let retry_after = loop {
-        let admit = queue.admit(ask("a", 4, 20), fill, FULL, Duration::ZERO);
+        let admit = queue.admit(request("a", 4, 20), fill, FULL, Duration::ZERO);
         match refusal(admit) {
             Some(refusal) => break refusal.retry_after.expect("a time"),
             None => fill += 1,
@@ -88,7 +88,7 @@
         }
         now += secs(4);
     }
-    let returning = Request { deadline: retry_after + secs(20), ..ask("a", 4, 0) };
+    let returning = Request { deadline: retry_after + secs(20), ..request("a", 4, 0) };
     assert!(refusal(queue.admit(returning, 1, FULL, retry_after)).is_none());
 }
 
@@ -98,10 +98,10 @@
 fn a_flood_waits_behind_its_own() {
     let mut queue = queue();
     for i in 0..100 {
-        queue.admit(ask("a", 4, 1000), i, FULL, Duration::ZERO);
+        queue.admit(request("a", 4, 1000), i, FULL, Duration::ZERO);
     }
     for i in 0..5 {
-        queue.admit(ask("c", 4, 1000), 1000 + i, FULL, secs(1));
+        queue.admit(request("c", 4, 1000), 1000 + i, FULL, secs(1));
     }
     let first: Vec<u32> = order(&mut queue, secs(1)).iter().take(10).map(|e| e.item).collect();
     assert_eq!(first.iter().filter(|i| **i >= 1000).count(), 5, "{first:?}");
@@ -116,8 +116,8 @@
 fn slot_time_follows_the_weights(#[case] a: u64, #[case] c: u64) {
     let mut queue = queue();
     for i in 0..100 {
-        queue.admit(ask("a", a, 100_000), i, FULL, Duration::ZERO);
-        queue.admit(ask("c", c, 100_000), i, FULL, Duration::ZERO);
+        queue.admit(request("a", a, 100_000), i, FULL, Duration::ZERO);
+        queue.admit(request("c", c, 100_000), i, FULL, Duration::ZERO);
     }
     let mut given = [0.0, 0.0];
     while given[1] < 150.0 {
@@ -134,9 +134,9 @@
 fn priority_does_not_take_another_share() {
     let mut queue = queue();
     for i in 0..50 {
-        let high = Request { priority: 9, ..ask("a", 4, 100_000) };
+        let high = Request { priority: 9, ..request("a", 4, 100_000) };
         queue.admit(high, i, FULL, Duration::ZERO);
-        let low = Request { priority: 0, ..ask("c", 4, 100_000) };
+        let low = Request { priority: 0, ..request("c", 4, 100_000) };
         queue.admit(low, 1000 + i, FULL, Duration::ZERO);
     }
     let order: Vec<u32> = order(&mut queue, Duration::ZERO).iter().map(|e| e.item).collect();
@@ -151,13 +151,13 @@
 fn short_passes_long_and_long_does_not_starve() {
     let mut queue = queue();
     for i in 0..10 {
-        queue.admit(ask("a", 60, 100_000), i, FULL, Duration::ZERO);
+        queue.admit(request("a", 60, 100_000), i, FULL, Duration::ZERO);
     }
-    queue.admit(ask("a", 2, 100_000), 100, FULL, secs(10));
+    queue.admit(request("a", 2, 100_000), 100, FULL, secs(10));
     assert_eq!(queue.next(ONE, secs(10)).map(|e| e.item), Some(100));
     let mut passed = 0;
     for second in 11.. {
-        queue.admit(ask("a", 2, 100_000), 200, FULL, secs(second));
+        queue.admit(request("a", 2, 100_000), 200, FULL, secs(second));
         if queue.next(ONE, secs(second)).is_some_and(|e| e.item < 100) {
             break;
         }
@@ -172,7 +172,7 @@
 fn what_can_no_longer_meet_its_deadline_is_refused() {
     let mut queue = queue();
     for i in 0..8 {
-        queue.admit(ask("a", 4, 20), i, FULL, Duration::ZERO);
+        queue.admit(request("a", 4, 20), i, FULL, Duration::ZERO);
     }
     assert!(queue.expired(FULL, secs(1)).is_empty());
     let slow = Room { slots: 1, ..FULL };
@@ -183,16 +183,16 @@
     assert_eq!(queue.expired(FULL, secs(19)).len() + gone.len(), 8);
 }
 
-// Callers leave, requests are refused by an agent and put back: counts must not drift, or an empty queue looks
+// Callers leave, and requests are refused by an agent and put back. Counts must not drift, or an empty queue looks
 // backlogged and makes every request wait.
 #[test]
 fn an_empty_queue_is_empty_after_any_order_of_events() {
     let mut queue = queue();
     for round in 0..50u64 {
         let now = secs(round);
-        let admit = queue.admit(ask("a", 3, 1000), 1, FULL, now);
+        let admit = queue.admit(request("a", 3, 1000), 1, FULL, now);
         let Admit::Wait(ticket) = admit else { panic!("{admit:?}") };
-        queue.admit(ask("c", 7, 1000), 2, FULL, now);
+        queue.admit(request("c", 7, 1000), 2, FULL, now);
         let entry = queue.next(ONE, now).expect("a request");
         queue.requeue(entry);
         queue.cancel("a", ticket);
@@ -201,7 +201,7 @@
         }
         assert_eq!((queue.waiting(), queue.running()), (0, 0));
     }
-    let admit = queue.admit(ask("a", 3, 1000), 1, ONE, secs(60));
+    let admit = queue.admit(request("a", 3, 1000), 1, ONE, secs(60));
     assert!(matches!(admit, Admit::Start(_)));
 }
 
@@ -210,10 +210,10 @@
 #[test]
 fn settings_change_while_requests_wait() {
     let mut queue = queue();
-    (0..3).for_each(|i| drop(queue.admit(ask("a", 4, 100), i, FULL, Duration::ZERO)));
+    (0..3).for_each(|i| drop(queue.admit(request("a", 4, 100), i, FULL, Duration::ZERO)));
     queue.set_shares(Vec::new());
     assert_eq!(
-        refusal(queue.admit(ask("a", 4, 100), 9, ONE, secs(1))).map(|r| r.reason),
+        refusal(queue.admit(request("a", 4, 100), 9, ONE, secs(1))).map(|r| r.reason),
         Some(Reason::Limit)
     );
     let entry = queue.next(ONE, secs(1)).expect("its turn");
@@ -232,7 +232,7 @@
 fn absurd_times_are_refused() {
     for run in [Duration::MAX, Duration::MAX / 2, secs(1 << 40)] {
         let mut queue = queue();
-        let absurd = Request { run, deadline: Duration::MAX, ..ask("a", 0, 0) };
+        let absurd = Request { run, deadline: Duration::MAX, ..request("a", 0, 0) };
         let admit = queue.admit(absurd, 1, ONE, secs(1));
         assert_eq!(refusal(admit).map(|r| r.reason), Some(Reason::Long));
     }
@@ -263,8 +263,8 @@
 }
 
 proptest! {
-    // A request that was admitted is dropped from the queue's lists: its caller waits for ever. Whatever happens, each
-    // request is returned once, and none starts that can't end by its deadline.
+    // Each admitted request is returned once, whatever happens, and none starts that can't end by its deadline. The
+    // caller of a request that the queue lost would wait for ever.
     #[test]
     fn each_request_comes_out_once(events in prop::collection::vec(event(), 1..200)) {
         let (mut queue, mut now) = (queue(), Duration::ZERO);
@@ -275,8 +275,8 @@
                 Event::Arrive { workspace, run, slack } => {
                     arrived += 1;
                     let deadline = now.as_secs() + run + slack;
-                    let ask = ask(["a", "b", "c"][workspace], run, deadline);
-                    match queue.admit(ask, arrived, FULL, now) {
+                    let request = request(["a", "b", "c"][workspace], run, deadline);
+                    match queue.admit(request, arrived, FULL, now) {
                         Admit::Refuse(..) => out += 1,
                         Admit::Start(entry) => running.push(entry),
                         Admit::Wait(_) => {}
--- a/crates/policy/tests/crash.rs
+++ b/crates/policy/tests/crash.rs
@@ -44,30 +44,30 @@
     routers: usize,
     /// Deadly requests that differ in content, and the interval at which each is sent to a random router.
     contents: u64,
-    each: Duration,
+    interval: Duration,
     /// Whether a deadly request is sent only once, as one that may not be retried.
     once: bool,
     /// Longest delay of a notice, and the ratio of notices that are lost.
-    late: Duration,
+    max_notice_delay: Duration,
     lost: f64,
     /// When a part of the servers ends at once.
     bulk: &'static [u64],
     /// When all routers restart and know only what is refused.
     restart: Option<u64>,
     /// Largest number of servers that each content may end.
-    most: u64,
+    max_ends: u64,
 }
 
 const DEFAULT: Case = Case {
     routers: 5,
     contents: 1,
-    each: Duration::from_millis(200),
+    interval: Duration::from_millis(200),
     once: false,
-    late: Duration::from_millis(300),
+    max_notice_delay: Duration::from_millis(300),
     lost: 0.0,
     bulk: &[],
     restart: None,
-    most: 12,
+    max_ends: 12,
 };
 
 /// A request in progress.
@@ -134,8 +134,8 @@
                 self.arrive(FIRST_HARMLESS + self.now.as_millis() as u64);
             }
             for content in 0..self.case.contents {
-                let shift = self.case.each.mul_f64(content as f64 / self.case.contents as f64);
-                if every(self.now + shift, self.case.each) {
+                let shift = self.case.interval.mul_f64(content as f64 / self.case.contents as f64);
+                if every(self.now + shift, self.case.interval) {
                     self.arrive(content);
                 }
             }
@@ -283,7 +283,7 @@
             }
             for to in (0..self.case.routers).filter(|to| *to != from) {
                 if self.random.random_bool(1.0 - self.case.lost) {
-                    let late = self.case.late.mul_f64(self.random.random());
+                    let late = self.case.max_notice_delay.mul_f64(self.random.random());
                     self.notices.push((self.now + late, to, update.clone()));
                 }
             }
@@ -322,19 +322,19 @@
     }
 }
 
-/// Requests that end servers go on to end more of them. Routers that have not received each other's losses yet may lose
-/// three servers each.
+/// Requests that end servers must be refused after a few losses. Routers that have not received each other's losses yet
+/// may lose three servers each.
 #[rstest]
 #[case::one_router(Case { routers: 1, ..DEFAULT })]
 #[case::five_routers(DEFAULT)]
 #[case::twenty_routers(Case { routers: 20, ..DEFAULT })]
 #[case::many_routers(Case { routers: 68, ..DEFAULT })]
-#[case::late_notices(Case { late: Duration::from_millis(1200), most: 3 * 5, ..DEFAULT })]
+#[case::late_notices(Case { max_notice_delay: Duration::from_millis(1200), max_ends: 3 * 5, ..DEFAULT })]
 #[case::lost_notices(Case { lost: 0.3, ..DEFAULT })]
 #[case::two_contents(Case { contents: 2, ..DEFAULT })]
-#[case::many_callers(Case { each: Duration::from_millis(50), routers: 20, most: 3 * 20, ..DEFAULT })]
+#[case::many_callers(Case { interval: Duration::from_millis(50), routers: 20, max_ends: 3 * 20, ..DEFAULT })]
 #[case::sent_once(Case { once: true, ..DEFAULT })]
-#[case::sent_rarely(Case { each: Duration::from_millis(2500), once: true, ..DEFAULT })]
+#[case::sent_rarely(Case { interval: Duration::from_millis(2500), once: true, ..DEFAULT })]
 #[case::beside_bulk_losses(Case { bulk: &[300, 1100, 2500], ..DEFAULT })]
 #[case::routers_restart(Case { restart: Some(5000), ..DEFAULT })]
 fn deadly_requests_are_stopped(#[case] case: Case) {
@@ -345,18 +345,18 @@
             ends.iter().filter(|at| ends.len() > 2 && **at > ends[2] + REACTION_TIME).count();
         let what = format!("seed {seed}: ended {}, late {late}, {result:?}", ends.len());
         assert!(late as u64 <= case.contents, "{what}");
-        assert!(ends.len() as u64 <= case.most * case.contents, "{what}");
+        assert!(ends.len() as u64 <= case.max_ends * case.contents, "{what}");
         assert!(f64::from(result.refused) <= 0.01 * f64::from(result.harmless), "{what}");
     }
 }
 
-/// Requests that ran on servers which ended in bulk are refused.
+/// Requests must not be refused because they ran on servers which ended in bulk.
 #[rstest]
 #[case::once(Case { bulk: &[3000], ..DEFAULT })]
 #[case::twice(Case { bulk: &[3000, 3200], ..DEFAULT })]
 #[case::again_and_again(Case { bulk: &[3000, 3100, 3200, 3300, 3400], ..DEFAULT })]
 #[case::many_routers(Case { routers: 68, bulk: &[3000, 3150, 5000, 5200], ..DEFAULT })]
-#[case::late_notices(Case { late: Duration::from_secs(2), bulk: &[3000, 3150, 3300], ..DEFAULT })]
+#[case::late_notices(Case { max_notice_delay: Duration::from_secs(2), bulk: &[3000, 3150, 3300], ..DEFAULT })]
 fn none_is_refused_for_losses_in_bulk(#[case] case: Case) {
     for seed in 0..10 {
         let result = Simulation::new(Case { contents: 0, ..case }, seed).simulate();
@@ -369,7 +369,7 @@
     Loss { start: Start { id: format!("vm-{server}"), born: 1 }, at, events }
 }
 
-/// A content that many callers send is refused though it completes on other servers.
+/// A content that many callers send must not be refused if it completes on other servers.
 #[test]
 fn a_content_that_ends_well_elsewhere_is_not_refused() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -380,7 +380,7 @@
     }
 }
 
-/// A verdict lasts for ever, or no loss counts after its end.
+/// A verdict must end after its time, and earlier losses must still count then.
 #[test]
 fn a_verdict_ends_and_one_more_loss_renews_it() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -393,7 +393,7 @@
     assert!(matches!(list.verdict(7, end + at(1)), Verdict::Refused { .. }));
 }
 
-/// A request that is known only from other routers is suspected for ever.
+/// A refusal that is known only from other routers must end as well.
 #[test]
 fn a_verdict_of_others_ends() {
     let (mut list, at) = (List::default(), Duration::from_secs);
@@ -404,7 +404,7 @@
     assert_eq!(list.counts(at(1) + REFUSAL_TIME), (0, 0));
 }
 
-/// A flood of suspects takes memory without bound, or evicts refused requests.
+/// A flood of suspects must neither take memory without bound nor evict refused requests.
 #[test]
 fn a_flood_of_suspects_is_bounded() {
     let (mut list, at) = (List::default(), Duration::from_millis);
--- a/crates/policy/tests/fill.rs
+++ b/crates/policy/tests/fill.rs
@@ -121,7 +121,7 @@
     (f64::from(declined) / f64::from(sent), used / CAPACITY / END.as_secs_f64())
 }
 
-/// Routers send a server all that arrives until it declines, as its report of a second ago showed room.
+/// Routers must not send a server all that arrives until it declines, because its report of a second ago showed room.
 #[rstest]
 #[case::half(0.5, None, 0.45)]
 #[case::nearly_all(0.9, None, 0.75)]
--- a/crates/policy/tests/loan.rs
+++ b/crates/policy/tests/loan.rs
@@ -134,9 +134,9 @@
 
 /// A request that a router answers for itself and others.
 struct Relay {
-    asker: usize,
+    message: usize,
     request: Request<usize>,
-    asked: Duration,
+    sent_at: Duration,
     round: Round<usize>,
     loan: Loan,
     open: usize,
@@ -173,11 +173,11 @@
     Restart(usize),
     /// A router learns the other routers.
     Join(usize),
-    /// A request of a router arrives at another one, or its answer arrives, or times out; by its index among all
+    /// A request of a router arrives at another one, its answer arrives, or it times out; by its index among all
     /// messages.
-    Asked(usize),
-    Answered(usize),
-    Silent(usize),
+    RequestArrives(usize),
+    AnswerArrives(usize),
+    TimesOut(usize),
     /// A process is asked to stop.
     Stop(usize),
     End(usize),
@@ -193,7 +193,7 @@
     from: usize,
     to: usize,
     request: Request<usize>,
-    asked: Duration,
+    sent_at: Duration,
     loan: Option<Loan>,
     relay: Option<usize>,
     done: bool,
@@ -234,7 +234,7 @@
     fn send(&mut self, from: usize, request: Request<usize>, relay: Option<usize>, now: Duration) {
         let id = self.messages.len();
         let to = request.lenders[0];
-        let way = self.scenario.late.mul_f64(self.rng.random());
+        let delay = self.scenario.late.mul_f64(self.rng.random());
         let up = to >= self.scenario.dead && !self.routers[to].down;
         let received = up && self.rng.random::<f64>() >= self.scenario.lost;
         let timeout = if relay.is_some() { ANSWER_TIMEOUT / 2 } else { ANSWER_TIMEOUT };
@@ -242,33 +242,33 @@
             from,
             to,
             request,
-            asked: now,
+            sent_at: now,
             loan: None,
             relay,
             done: false,
         });
-        self.push(now + timeout, Event::Silent(id));
+        self.push(now + timeout, Event::TimesOut(id));
         if received {
-            self.push(now + way, Event::Asked(id));
+            self.push(now + delay, Event::RequestArrives(id));
         }
     }
 
     fn reply(&mut self, id: usize, loan: Loan, now: Duration) {
         self.messages[id].loan = Some(loan);
         if self.rng.random::<f64>() >= self.scenario.lost {
-            let way = self.scenario.late.mul_f64(self.rng.random());
-            self.push(now + way, Event::Answered(id));
+            let delay = self.scenario.late.mul_f64(self.rng.random());
+            self.push(now + delay, Event::AnswerArrives(id));
         }
     }
 
     fn take_one(&mut self, n: usize, now: Duration) -> bool {
         let (count, router) = (self.scenario.routers as u32, &mut self.routers[n]);
         let taken = router.borrower.take(now) || router.budget.take(now - router.started, count);
-        self.note_use(n, now);
+        self.record_use(n, now);
         taken
     }
 
-    fn note_use(&mut self, n: usize, now: Duration) {
+    fn record_use(&mut self, n: usize, now: Duration) {
         let (count, router) = (self.scenario.routers as u32, &mut self.routers[n]);
         if router.budget.is_heavy(now - router.started, count) {
             self.heavy.push(now);
@@ -392,12 +392,12 @@
         let count = self.scenario.routers as u32;
         let router = &mut self.routers[to];
         let loan = router.budget.lend(Need::Begun, request.want, now - router.started, count);
-        self.note_use(to, now);
+        self.record_use(to, now);
         if loan.lent == request.want || request.lenders.len() == 1 {
             return self.reply(id, loan, now);
         }
         let round = Round::each(&request.lenders[1..], request.want - loan.lent);
-        self.relays.push(Relay { asker: id, request, asked: now, round, loan, open: 0 });
+        self.relays.push(Relay { message: id, request, sent_at: now, round, loan, open: 0 });
         self.relay_next(self.relays.len() - 1, now);
     }
 
@@ -407,10 +407,10 @@
             return;
         }
         // The router that sent the request no longer waits after a while.
-        let late = now - relay.asked > ANSWER_TIMEOUT / 2;
+        let late = now - relay.sent_at > ANSWER_TIMEOUT / 2;
         let requests = if late { Vec::new() } else { relay.round.wave() };
         relay.open = requests.len();
-        let (id, loan, from) = (relay.asker, relay.loan, relay.request.lenders[0]);
+        let (id, loan, from) = (relay.message, relay.loan, relay.request.lenders[0]);
         match requests.is_empty() {
             true => self.reply(id, loan, now),
             false => {
@@ -422,7 +422,7 @@
     fn receive_answer(&mut self, id: usize, silent: bool, now: Duration) {
         let done = std::mem::replace(&mut self.messages[id].done, true);
         let m = &self.messages[id];
-        let (from, request, asked, loan) = (m.from, m.request.clone(), m.asked, m.loan);
+        let (from, request, sent_at, loan) = (m.from, m.request.clone(), m.sent_at, m.loan);
         let loan = loan.filter(|_| !silent);
         match m.relay {
             _ if done && silent => {}
@@ -430,7 +430,7 @@
             None if done => {
                 let borrower = &mut self.routers[from].borrower;
                 borrower.clear_backoff(request.lenders[0]);
-                borrower.receive(&request, loan.expect("an answer"), asked, now);
+                borrower.receive(&request, loan.expect("an answer"), sent_at, now);
                 self.serve(from, now);
             }
             Some(_) if done => {}
@@ -450,7 +450,7 @@
                     *open -= 1;
                     match loan {
                         Some(loan) => {
-                            router.borrower.receive(&request, loan, asked, now);
+                            router.borrower.receive(&request, loan, sent_at, now);
                             round.record(request, loan);
                         }
                         None => {
@@ -577,9 +577,9 @@
                 world.start(n, twice.then_some(Delivery::Twice), now);
             }
             Event::Join(n) => world.routers[n].budget.set_rank(n as u32, routers as u32),
-            Event::Asked(id) => world.receive_request(id, now),
-            Event::Answered(id) => world.receive_answer(id, false, now),
-            Event::Silent(id) => world.receive_answer(id, true, now),
+            Event::RequestArrives(id) => world.receive_request(id, now),
+            Event::AnswerArrives(id) => world.receive_answer(id, false, now),
+            Event::TimesOut(id) => world.receive_answer(id, true, now),
         }
     }
     world.out.arrivals.sort_unstable();
@@ -619,7 +619,8 @@
     late.map(|(_, used)| used).fold(0.0, f64::max)
 }
 
-/// The streams of one router or a few break off, and are given up while the shares of the other routers are unused.
+/// The streams of one router or a few break off. They must not be given up while the shares of the other routers are
+/// unused.
 #[rstest]
 #[case::one(Scenario { routers: 1, ..DEFAULT })]
 #[case::five(Scenario { routers: 5, ..DEFAULT })]
@@ -639,7 +640,7 @@
     }
 }
 
-/// More retries than allowed arrive, as requests, routers or retries in transit are lost or late.
+/// No more retries than allowed may arrive when requests, routers or retries in transit are lost or late.
 #[rstest]
 #[case::late(Scenario { late: Duration::from_millis(60), needy: 4, ..DEFAULT })]
 #[case::very_late(Scenario { late: Duration::from_millis(900), needy: 4, least: 0.1, ..DEFAULT })]
@@ -684,7 +685,7 @@
     }
 }
 
-/// Routers that do not answer delay a loss by more than one short wait.
+/// Routers that do not answer must delay the decisions on a loss by no more than one short wait.
 #[test]
 fn dead_lenders_cost_one_wait() {
     let needs = (100, Duration::from_millis(200));
@@ -697,7 +698,7 @@
     }
 }
 
-/// All routers are short at once, and each asks all others again and again.
+/// All routers are short at once. They must not ask each other again and again.
 #[test]
 fn a_lasting_shortage_makes_few_requests() {
     for (routers, most) in [(26, 40.0), (400, 40.0)] {
@@ -710,7 +711,7 @@
 
 /// Without loans most of the budget is unused, which shows that the scenarios need them.
 #[test]
-fn without_loans_the_budget_lies_idle() {
+fn without_loans_the_budget_is_unused() {
     let used = most(&simulate(&Scenario { lend: false, ..DEFAULT }, 1));
     assert!(used < 0.1, "{used:.3} used");
 }
@@ -757,8 +758,8 @@
     outs.iter().map(|out| most_from(out, from)).collect()
 }
 
-/// Routers are restarted one after the other and then the streams of one break off, while the shares of those that
-/// have started are unused.
+/// Routers are restarted one after the other and then the streams of one break off. The unused shares of the routers
+/// that have started must be available to them.
 #[rstest]
 #[case::used_twenty_six(HEAVY_USE, 0)]
 #[case::used_twenty_six_slowly(Scenario { rolling: Some(SLOW_RESTART), ..HEAVY_USE }, 0)]
@@ -775,8 +776,8 @@
     assert!(used.iter().all(|used| *used >= 0.9), "used after the restarts: {used:.3?}");
 }
 
-/// The callers of routers that are restarted move to others for some seconds, and a part of the budget is unusable
-/// for two windows.
+/// The callers of routers that are restarted move to others for some seconds. This must not make a part of the budget
+/// unusable for two windows.
 #[rstest]
 #[case::used(Scenario { rolling: Some(MOVING_CALLERS), ..HEAVY_USE })]
 #[case::used_slowly(Scenario { rolling: Some(Rolling { every: Duration::from_secs(1), ..MOVING_CALLERS }), ..HEAVY_USE })]
@@ -788,7 +789,7 @@
     assert!(used.iter().all(|used| *used >= 0.9), "used after the restarts: {used:.3?}");
 }
 
-/// The use that the scenarios above begin with is heavy.
+/// The use with which the scenarios above begin is heavy, as they require.
 #[test]
 fn the_budget_is_used_before_the_restarts() {
     for seed in 0..5 {
@@ -798,7 +799,8 @@
     }
 }
 
-/// A process that receives the handover of the previous one late goes on with a small part of its own share.
+/// A process that receives the handover of the previous one late must use its whole share from then on, and not only a
+/// small part of it.
 #[rstest]
 #[case::used(HEAVY_USE, 0)]
 #[case::quiet(NO_USE, 25)]
@@ -811,7 +813,7 @@
     assert!(used.iter().all(|used| *used >= 0.9), "used after the handover: {used:.3?}");
 }
 
-/// The scenarios above without restarts: the loss is one that can use the budget.
+/// The scenarios above without restarts, which shows that their losses can use the whole budget.
 #[rstest]
 #[case::used(Scenario { rolling: None, ..HEAVY_USE })]
 #[case::quiet(Scenario { rolling: None, ..NO_USE })]
@@ -821,7 +823,7 @@
     assert!(used.iter().all(|used| *used >= 0.9), "used: {used:.3?}");
 }
 
-/// More retries than allowed arrive, as a handover comes late or not at all, or the process that received it is
+/// No more retries than allowed may arrive when a handover comes late or not at all, or the process that received it is
 /// killed.
 #[rstest]
 #[case::ready(ROLLING_RESTART)]
@@ -852,7 +854,7 @@
     }
 }
 
-/// Two processes receive one handover, and what the first of them used is used again.
+/// Two processes receive one handover. What the first of them used must not be used again.
 #[rstest]
 #[case::once(Delivery::Ready, 0.9, 1.0)]
 #[case::twice(Delivery::Twice, 1.5, 2.0)]
@@ -871,7 +873,8 @@
     }
 }
 
-/// Streams are refused retries while other routers have some left, as these are not asked again for some time.
+/// Streams must not be refused retries while other routers have some left. These are not asked again for some time
+/// after they had none.
 #[rstest]
 #[case::steady(DEFAULT)]
 #[case::requests_rise(Scenario { rises: Some(Duration::from_secs(27)), ..DEFAULT })]
@@ -887,7 +890,7 @@
     );
 }
 
-/// One stream asks the routers that do not answer one after the other.
+/// One stream must not ask routers that do not answer one after the other, each with a wait.
 #[test]
 fn dead_lenders_cost_a_single_stream_one_wait() {
     let needs = (1, Duration::from_millis(200));
--- a/crates/policy/tests/servers.rs
+++ b/crates/policy/tests/servers.rs
@@ -33,17 +33,17 @@
     Load { slots: 8, busy, step_us: step * 1000, leaving: false, age: Duration::ZERO }
 }
 
-fn ask(prefix: Option<u64>) -> Request<'static> {
+fn request(prefix: Option<u64>) -> Request<'static> {
     let cost = Cost { prompt: 64, output: 64 };
     Request { cost, left: secs(1000), prefix, keyed: false, recovery: false, from: 0, avoid: &[] }
 }
 
 /// How often each VM is the head in `n` choices.
-fn heads(table: &Table, ask: &Request, now: Duration, n: usize) -> Vec<usize> {
+fn heads(table: &Table, request: &Request, now: Duration, n: usize) -> Vec<usize> {
     let mut rng = Pcg64::seed_from_u64(7);
     let mut counts = vec![0; 20];
     for _ in 0..n {
-        if let Some(chain) = table.chain(ask, now, &mut rng) {
+        if let Some(chain) = table.chain(request, now, &mut rng) {
             counts[chain[0][0][3..].parse::<usize>().expect("a number")] += 1;
         }
     }
@@ -83,7 +83,7 @@
         table.started("vm-0", secs(1));
         table.ended("vm-0", End::Failed, secs(1));
     }
-    assert_eq!(heads(&table, &ask(None), secs(2), 200)[0], 0);
+    assert_eq!(heads(&table, &request(None), secs(2), 200)[0], 0);
     let back = secs(1) + policy::health::MIN_EJECTION;
     let mut allowed = Vec::new();
     for _ in 0..5 {
@@ -115,7 +115,8 @@
     assert_eq!(table.room(1, secs(13)).free, 3, "freed since the report");
 }
 
-// A VM with cold caches joins a busy fleet. All routers see eight idle slots at the same time.
+// A VM with cold caches joins a busy fleet, and all routers see eight idle slots at the same time. It must not get a
+// full load at once.
 #[test]
 fn a_joining_server_is_ramped_up() {
     let mut table = table(&[10, 10, 10]);
@@ -136,7 +137,7 @@
     assert_eq!(table.room(1, secs(2)).slots, 8);
 }
 
-// A VM flaps between live and lost. Each return would move work there and lose it again.
+// A VM flaps between live and lost. Each return would move work there and lose it again, so its ramp must get slower.
 #[test]
 fn a_flapping_server_is_ramped_up_more_slowly_each_time() {
     let mut table = table(&[10, 10]);
@@ -157,11 +158,11 @@
 #[test]
 fn a_prefix_keeps_its_replicas_until_they_are_loaded() {
     let mut table = table(&[10; 10]);
-    let counts = heads(&table, &ask(Some(5)), secs(1), 200);
+    let counts = heads(&table, &request(Some(5)), secs(1), 200);
     let home = (0..10).max_by_key(|i| counts[*i]).expect("ten");
     assert!(counts[home] > 150, "{counts:?}");
     table.report(&format!("vm-{home}"), &load(7, 10), secs(1));
-    let counts = heads(&table, &ask(Some(5)), secs(1), 200);
+    let counts = heads(&table, &request(Some(5)), secs(1), 200);
     assert_eq!(counts[home], 0, "{counts:?}");
 }
 
@@ -170,7 +171,7 @@
 fn a_keyed_call_prefers_the_same_server_whatever_its_load() {
     let mut first = table(&[10; 3]);
     let second = table(&[10; 3]);
-    let keyed = Request { keyed: true, ..ask(Some(77)) };
+    let keyed = Request { keyed: true, ..request(Some(77)) };
     let counts = heads(&second, &keyed, secs(1), 50);
     let home = counts.iter().position(|c| *c == 50).expect("always the same");
     first.report(&format!("vm-{home}"), &load(8, 10), secs(1));
@@ -189,7 +190,7 @@
     let mut rng = Pcg64::seed_from_u64(3);
     let speed = |vm: &String| vm[3..].parse::<usize>().expect("a number") < 6;
     for _ in 0..200 {
-        let chain = table.chain(&ask(None), secs(10), &mut rng).expect("free slots");
+        let chain = table.chain(&request(None), secs(10), &mut rng).expect("free slots");
         assert_eq!(speed(&chain[0][0]), speed(&chain[1][0]));
     }
 }
@@ -201,7 +202,8 @@
     stop: Option<Stop>,
 }
 
-// A write whose answer was lost is retried and takes effect twice; or a retry starts that can't end in time.
+// A write whose answer was lost must not be retried, as it may take effect twice; and no retry may start that can't end
+// in time.
 #[rstest]
 #[case(Tried { outcome: Outcome::NotRun, tries: 1, deadline: 60, stop: None })]
 #[case(Tried { outcome: Outcome::Idempotent, tries: 1, deadline: 60, stop: None })]
@@ -234,7 +236,8 @@
     assert!((9..=10).contains(&next), "{next} retries after 100 successes");
 }
 
-// One request that crashes the engine runs beside seven others, and its caller sends it again.
+// One request that crashes the engine runs beside seven others, and its caller sends it again. It must be refused after
+// the second crash, and the others must not.
 #[test]
 fn two_crashes_identify_the_request_at_fault() {
     let mut list = List::new(secs(600));
@@ -254,7 +257,8 @@
     assert!(matches!(peer.verdict(3, secs(5)), Verdict::Refused { .. }), "kept when full");
 }
 
-// Saturation, and a stage is lost. Its drafts need slots in other replicas, all of which are full of new work.
+// Saturation, and a stage is lost. Its drafts need slots in other replicas, where the objective `Recovery` keeps
+// some free of new work.
 #[rstest]
 #[case(Objective::Throughput, 8, 0)]
 #[case(Objective::Recovery, 8, 1)]
@@ -270,7 +274,7 @@
     assert_eq!((new as u32, recovered as u32), (size - reserve, reserve));
 }
 
-// A suspect runs beside others and crashes the engine with them.
+// A suspect must not run beside other requests, which would be lost if it crashes the engine.
 #[test]
 fn a_suspect_runs_alone() {
     let mut slots = Slots::new(8, Objective::Throughput);
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -65,7 +65,7 @@
     assert_eq!(routers.count(61 * second), 5);
 }
 
-/// A server alternates between down and up. Requests are sent to it less and less often.
+/// A server alternates between down and up. Requests must be sent to it less and less often.
 #[test]
 fn flapping_servers_are_passed_over_longer() {
     let mut suspicion = Suspicion::default();
@@ -86,8 +86,8 @@
     assert!(!suspicion.is_unresolved());
 }
 
-/// A server that was passed over answers a status request. It has to be used again at once, also by the router that
-/// gives orders, which would otherwise load its layers elsewhere and keep them there.
+/// A server that was passed over answers a status request. It has to be used again at once, also by the leader, which
+/// would otherwise have its layers loaded elsewhere and kept there.
 #[test]
 fn an_answer_ends_the_suspicion() {
     let mut suspicion = Suspicion::default();
@@ -100,7 +100,7 @@
     assert!(suspicion.holds(now + MIN_PAUSE * 2) && suspicion.is_unresolved());
 }
 
-/// Failures of requests that were in progress together count once.
+/// Failures of requests that were in progress together must count once, or the pause becomes too long.
 #[test]
 fn failures_at_once_count_once() {
     let mut suspicion = Suspicion::default();
@@ -109,7 +109,7 @@
     assert!(!suspicion.holds(now + MIN_PAUSE));
 }
 
-/// Routers send prompts over one link at several times its rate. Each stops as soon as its own part is full, so that
+/// Routers send prompts over one link at several times its rate. Each stops as soon as its own share is full, so that
 /// the total that waits stays bounded; and together they still use the link.
 #[rstest]
 #[case::few(4)]
