--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -24,17 +24,17 @@
 const PARALLEL_RUNS: usize = 3;
 
 fn main() {
-    let asked = |part: &str| {
+    let selected = |part: &str| {
         let mut parts = std::env::args().skip(1).filter(|a| !a.starts_with('-')).peekable();
         parts.peek().is_none() || parts.any(|a| a == part)
     };
-    if asked("loads") {
+    if selected("loads") {
         loads();
     }
-    if asked("sweeps") {
+    if selected("sweeps") {
         sweeps();
     }
-    if asked("cost") {
+    if selected("cost") {
         cost::print();
     }
 }
--- a/crates/policy/src/crash.rs
+++ b/crates/policy/src/crash.rs
@@ -57,8 +57,8 @@
 /// servers end in bulk.
 const MAX_EXPLAINING_REQUESTS: usize = 8;
 
-/// Largest number of losses in one update, those of the gravest suspects first. When a server ends with hundreds of
-/// runs, most of these are past their loss by the time it would be sent.
+/// Largest number of losses in one update, those of the suspects with most losses first. When a server ends with
+/// hundreds of runs, most of these are past their loss by the time it would be sent.
 const MAX_LOSSES_PER_UPDATE: usize = 32;
 
 /// Time for which a first loss is held back, as most requests get past it. A loss of a suspect is sent at once.
@@ -230,11 +230,11 @@
         if losses < MIN_LOSSES_TO_SUSPECT {
             return Verdict::Clear;
         }
-        let (alone, guilty) = self.weigh(at);
+        let (isolate_weight, refuse_weight) = self.weigh(at);
         match () {
-            () if alone < MIN_WEIGHT_TO_ISOLATE => Verdict::Clear,
+            () if isolate_weight < MIN_WEIGHT_TO_ISOLATE => Verdict::Clear,
             () if losses < MIN_LOSSES_TO_REFUSE => Verdict::Alone,
-            () if guilty >= MIN_WEIGHT_TO_REFUSE => {
+            () if refuse_weight >= MIN_WEIGHT_TO_REFUSE => {
                 let record = &mut self.records[at];
                 (record.refused_until, record.resend_at, record.resends) =
                     (Some(now + REFUSAL_TIME), now, 0);
@@ -425,16 +425,18 @@
         record.losses.drain(..more);
     }
 
-    /// Returns the weight of a request's losses, first by what else may have ended the servers, then also by which
-    /// other requests may have.
+    /// Returns two weights of a request's losses: the one by which it runs alone, which is smaller the more other
+    /// servers ended at the same time for no known reason, and the one by which it is refused, which is also smaller
+    /// the more suspects share the losses.
     fn weigh(&self, at: usize) -> (f64, f64) {
         let record = &self.records[at];
-        let grave: Vec<&Record> =
+        let many_losses: Vec<&Record> =
             self.records.iter().filter(|r| r.losses.len() >= MIN_LOSSES_TO_REFUSE).collect();
         let is_explained = |start: &Start| {
-            grave.len() <= MAX_EXPLAINING_REQUESTS && grave.iter().any(|r| r.lost_at(start))
+            many_losses.len() <= MAX_EXPLAINING_REQUESTS
+                && many_losses.iter().any(|r| r.lost_at(start))
         };
-        let (mut alone, mut guilty) = (0.0, 0.0);
+        let (mut isolate_weight, mut refuse_weight) = (0.0, 0.0);
         for (loss, _) in &record.losses {
             let others = self.ended.iter().filter(|(start, when)| {
                 loss.at.abs_diff(*when) <= BULK_WINDOW
@@ -442,11 +444,11 @@
                     && !is_explained(start)
             });
             let others = others.count() as f64;
-            let sharers = grave.iter().filter(|r| r.lost_at(&loss.start)).count().max(1);
-            alone += 1.0 / (1.0 + others);
-            guilty += 1.0 / (sharers as f64 + others);
+            let sharers = many_losses.iter().filter(|r| r.lost_at(&loss.start)).count().max(1);
+            isolate_weight += 1.0 / (1.0 + others);
+            refuse_weight += 1.0 / (sharers as f64 + others);
         }
-        (alone, guilty)
+        (isolate_weight, refuse_weight)
     }
 
     fn find(&self, fingerprint: Fingerprint) -> Result<usize, usize> {
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -255,15 +255,15 @@
     /// Records that a started request has ended after it held its slots for `held`; zero if it was not run.
     pub fn done(&mut self, request: &Request, held: Duration) {
         self.running = self.running.saturating_sub(1);
-        let (asked, held) = (request.run.as_secs_f64().max(1e-6), held.as_secs_f64());
+        let (requested, held) = (request.run.as_secs_f64().max(1e-6), held.as_secs_f64());
         if held > 0.0 {
-            self.used += SMOOTHING * ((held / asked).clamp(0.01, 4.0) - self.used);
+            self.used += SMOOTHING * ((held / requested).clamp(0.01, 4.0) - self.used);
         }
         if let Ok(i) = self.find(&request.workspace) {
             let workspace = &mut self.workspaces[i];
             workspace.running = workspace.running.saturating_sub(1);
             // Callers ask for more tokens than the answer has: what was not used is given back.
-            workspace.start -= (asked - held).max(0.0) / workspace.weight();
+            workspace.start -= (requested - held).max(0.0) / workspace.weight();
         }
     }
 
--- a/crates/policy/tests/quota.rs
+++ b/crates/policy/tests/quota.rs
@@ -198,7 +198,8 @@
     routers: 68, owner_change_interval: Some(Duration::from_secs(7)), overlap: Duration::from_secs(1), ..DEFAULT
 })]
 #[case::high_and_overlapping(Scenario {
-    limit: 40.0, demand: 130.0, owner_change_interval: Some(Duration::from_secs(7)), overlap: Duration::from_secs(1), ..DEFAULT
+    limit: 40.0, demand: 130.0, owner_change_interval: Some(Duration::from_secs(7)),
+    overlap: Duration::from_secs(1), ..DEFAULT
 })]
 fn the_limit_is_kept_under_faults(#[case] case: Scenario) {
     for seed in 0..20 {
