--- a/crates/layers/src/pass.rs
+++ b/crates/layers/src/pass.rs
@@ -30,8 +30,8 @@
 const PREFILL_SHARE: f64 = 0.6;
 
 impl Shape {
-    /// Most mean requests that a server with that many layers serves in a millisecond, with
-    /// `slow` as the factor on all its times. None if its passes are unknown.
+    /// Returns the most mean requests that a server with that many layers serves in a millisecond, with
+    /// `slow` as the factor on all its times; `None` if its passes are unknown.
     ///
     /// A pass takes `a + b * requests`: its steps, and what the requests that arrived since the previous pass
     /// add to them. The result is the rate at which the prompts of those requests exactly fill a pass.
@@ -55,8 +55,8 @@
         (rate.is_finite() && rate > 0.0).then_some(rate)
     }
 
-    /// Time of a pass of a server with that many layers that gets `rate` mean requests in a millisecond, in
-    /// milliseconds. Infinite if the server can't keep up, zero if its passes are unknown.
+    /// Returns the time of a pass of a server with that many layers that gets `rate` mean requests in a millisecond,
+    /// in milliseconds. It is infinite if the server can't keep up, and zero if its passes are unknown.
     pub fn pass_ms(&self, card: &Card, layers: u32, rate: f64) -> f64 {
         let Some(pass) = self.pass else { return 0.0 };
         let (steps, request) = self.costs(&pass, card, layers, 1.0);
@@ -66,7 +66,8 @@
         }
     }
 
-    /// Time of a pass without requests, and the time that each mean request adds to passes, in milliseconds.
+    /// Returns the time of a pass without requests, and the time that each mean request adds to passes, in
+    /// milliseconds.
     fn costs(&self, pass: &Pass, card: &Card, layers: u32, slow: f64) -> (f64, f64) {
         let part = f64::from(layers) / f64::from(self.layers) * slow;
         let steps = part * pass.stride * card.pace * self.step_ms;
@@ -76,7 +77,7 @@
         (steps, decode + prefill)
     }
 
-    /// Time that a server with that many layers spends on the prefill of a prompt, in milliseconds.
+    /// Returns the time that a server with that many layers spends on the prefill of a prompt, in milliseconds.
     pub fn prefill_ms(&self, card: &Card, layers: u32, slow: f64, prompt: f64) -> f64 {
         let part = f64::from(layers) / f64::from(self.layers) * slow;
         let nominal = prompt / self.read_per_ms * card.read * part / PREFILL_SHARE;
--- a/crates/layers/src/path.rs
+++ b/crates/layers/src/path.rs
@@ -106,7 +106,7 @@
     (parts.len() <= MAX_PARTS).then_some((parts, end.cost))
 }
 
-/// Sorted boundaries of all spans, from the first layer of the query to the end of the model.
+/// Returns the sorted boundaries of all spans, from the first layer of the query to the end of the model.
 fn boundaries(holders: &[Holder], query: &Query<'_>) -> Vec<u32> {
     let mut cuts = vec![query.from, query.layers];
     for holder in holders {
@@ -118,7 +118,7 @@
     cuts
 }
 
-/// Lowest cost of reaching `holder` from the paths that end at this boundary, and the index of that path.
+/// Returns the lowest cost of reaching `holder` from the paths that end at this boundary, and the index of that path.
 fn enter(
     ends: &[Best],
     holder: &Holder,
--- a/crates/layers/src/placement.rs
+++ b/crates/layers/src/placement.rs
@@ -50,7 +50,7 @@
     pub span: Span,
 }
 
-/// Orders that lead from the layers held now to a whole copy in each data centre.
+/// Returns the orders that lead from the layers held now to a whole copy in each data centre.
 ///
 /// Busy servers count as holding what they were ordered to hold and get no second order.
 /// `lasting` says that layers have been missing for longer than a crashed server needs to restart. In
@@ -93,7 +93,7 @@
     planner.orders
 }
 
-/// Layers that no usable server of a data centre holds or loads.
+/// Returns the layers that no usable server of a data centre holds or loads.
 ///
 /// ```
 /// # use layers::{Card, Server, Shape, Span, placement};
@@ -187,7 +187,7 @@
         self.assign(&order, all, tokens);
     }
 
-    /// Whether a group's memory holds several whole copies, and few enough to compare ways to split it.
+    /// Returns whether a group's memory holds several whole copies, and few enough to compare ways to split it.
     fn holds_copies(&self, group: &[Zone]) -> bool {
         let cards = self.members(group).map(|i| self.servers[i].card);
         let layers: u32 =
@@ -195,7 +195,7 @@
         (2..=copies::MAX_COMPARED_COPIES).contains(&(layers / self.shape.layers))
     }
 
-    /// The copies that together serve the highest rate. None if the engines' passes are unknown.
+    /// Returns the copies that together serve the highest rate, or `None` if the engines' passes are unknown.
     fn copies_by_rate(&self, members: &[Index]) -> Option<Vec<(Index, Span)>> {
         let mut order = members.to_vec();
         let rate = |i: &Index| self.shape.rate(&self.servers[*i].card, self.shape.layers, 1.0);
@@ -222,7 +222,7 @@
         left
     }
 
-    /// Spans of layers that no usable server of the group holds, `but` left out.
+    /// Returns the spans of layers that no usable server of the group holds, with `but` left out.
     fn missing(&self, group: &[Zone], but: Option<Index>) -> Vec<Span> {
         let mut held = vec![false; self.shape.layers as usize];
         for i in self.members(group).filter(|i| Some(*i) != but) {
@@ -232,7 +232,7 @@
         Span::gaps(&held)
     }
 
-    /// Whether the group holds all layers of this server elsewhere.
+    /// Returns whether the group holds all layers of this server elsewhere.
     fn redundant(&self, group: &[Zone], server: Index) -> bool {
         let span = self.servers[server].span;
         let gaps = self.missing(group, Some(server));
@@ -266,7 +266,7 @@
         }
     }
 
-    /// The fewest servers around a gap that together can hold the gap and their own layers.
+    /// Returns the fewest servers around a gap that together can hold the gap and their own layers.
     fn window(&self, group: &[Zone], gap: Span) -> Option<Vec<Index>> {
         let free = |i: &Index| !self.servers[*i].busy && !self.servers[*i].span.is_empty();
         let mut order: Vec<Index> = self.members(group).filter(free).collect();
@@ -285,13 +285,13 @@
         })
     }
 
-    /// The smallest span that contains a gap and the layers of the servers of a window.
+    /// Returns the smallest span that contains a gap and the layers of the servers of a window.
     fn extent(&self, window: &[Index], gap: Span) -> Span {
         let spans = window.iter().map(|i| self.servers[*i].span);
         spans.fold(gap, |all, s| Span::new(all.from.min(s.from), all.to.max(s.to)))
     }
 
-    /// Tokens of context that fit beside these layers on these servers, at most [`TARGET_CONTEXT_TOKENS`].
+    /// Returns the tokens of context that fit beside these layers on these servers, at most [`TARGET_CONTEXT_TOKENS`].
     fn room(&self, order: &[Index], layers: Span) -> f64 {
         largest(TARGET_CONTEXT_TOKENS, |tokens| {
             let cards = order.iter().map(|i| self.servers[*i].card);
@@ -351,7 +351,7 @@
     }
 }
 
-/// Largest number up to `top` for which `fits` is true, to within `top / 65,536`.
+/// Returns the largest number up to `top` for which `fits` is true, to within `top / 65,536`.
 fn largest(top: f64, fits: impl Fn(f64) -> bool) -> f64 {
     if fits(top) {
         return top;
--- a/crates/layers/src/placement/reserve.rs
+++ b/crates/layers/src/placement/reserve.rs
@@ -151,13 +151,13 @@
         runs.min_by(|a, b| sum(a).total_cmp(&sum(b)))
     }
 
-    /// Most mean requests per millisecond that a server with that many layers serves.
+    /// Returns the most mean requests per millisecond that a server with that many layers serves.
     fn rate(&self, server: Index, layers: u32) -> Option<f64> {
         let slow = if self.servers[server].slow { SLOW_FACTOR } else { 1.0 };
         self.shape.rate(&self.servers[server].card, layers, slow)
     }
 
-    /// The span of `len` layers whose second copy covers the most of the servers that hold them.
+    /// Returns the span of `len` layers whose second copy covers the most of the servers that hold them.
     ///
     /// A server counts by the square of the share of its layers that another one holds too: covering half of two
     /// servers helps with the loss of neither, so a copy that covers one whole server is preferred, and
--- a/crates/layers/src/server.rs
+++ b/crates/layers/src/server.rs
@@ -48,7 +48,7 @@
 }
 
 impl Card {
-    /// Number of layers that the card can hold together with `tokens` of context.
+    /// Returns the number of layers that the card can hold together with `tokens` of context.
     ///
     /// ```
     /// # use layers::{Card, Shape};
@@ -63,7 +63,8 @@
         (self.bytes * USABLE_SHARE / (shape.layer_bytes + tokens * shape.token_bytes)) as u32
     }
 
-    /// Tokens of context that fit beside `layers` layers, each token with its context in all of these layers.
+    /// Returns the tokens of context that fit beside `layers` layers, each token with its context in all of these
+    /// layers.
     pub fn room(&self, shape: &Shape, layers: u32) -> f64 {
         let free = self.bytes - f64::from(layers) * shape.layer_bytes;
         (free / (f64::from(layers.max(1)) * shape.token_bytes)).max(0.0)
--- a/crates/layers/src/slots.rs
+++ b/crates/layers/src/slots.rs
@@ -16,8 +16,8 @@
 /// Cost of beginning at a server whose slots are nearly all in use, as a share of the whole time of a request.
 const MAX_COST_SHARE: f64 = 0.5;
 
-/// Cost of beginning a request at a server that reported `running` requests, in milliseconds. Infinite if
-/// the server gets no more. `whole` is the whole time of the request in milliseconds.
+/// Returns the cost of beginning a request at a server that reported `running` requests, in milliseconds. It is
+/// infinite if the server gets no more. `whole` is the whole time of the request in milliseconds.
 ///
 /// ```
 /// use layers::slots::begin_ms;
--- a/crates/layers/src/span.rs
+++ b/crates/layers/src/span.rs
@@ -18,32 +18,32 @@
 }
 
 impl Span {
-    /// The layers `from..to`.
+    /// Creates the span `from..to`.
     pub fn new(from: u32, to: u32) -> Span {
         Span { from, to }
     }
 
-    /// Number of layers. Zero if the ends are swapped.
+    /// Returns the number of layers, which is zero if the ends are swapped.
     pub fn len(self) -> u32 {
         self.to.saturating_sub(self.from)
     }
 
-    /// Whether the span contains no layer.
+    /// Returns whether the span contains no layer.
     pub fn is_empty(self) -> bool {
         self.len() == 0
     }
 
-    /// Whether the span contains `layer`.
+    /// Returns whether the span contains `layer`.
     pub fn contains(self, layer: u32) -> bool {
         self.from <= layer && layer < self.to
     }
 
-    /// Whether the span contains all layers of `other`.
+    /// Returns whether the span contains all layers of `other`.
     pub fn covers(self, other: Span) -> bool {
         self.from <= other.from && other.to <= self.to
     }
 
-    /// Spans of layers that are not held. `held` has an entry for each layer in order.
+    /// Returns the spans of layers that are not held. `held` has an entry for each layer in order.
     ///
     /// ```
     /// # use layers::Span;
--- a/crates/policy/tests/loan.rs
+++ b/crates/policy/tests/loan.rs
@@ -780,7 +780,9 @@
 /// unusable for two windows.
 #[rstest]
 #[case::used(Scenario { rolling: Some(MOVING_CALLERS), ..HEAVY_USE })]
-#[case::used_slowly(Scenario { rolling: Some(Rolling { every: Duration::from_secs(1), ..MOVING_CALLERS }), ..HEAVY_USE })]
+#[case::used_slowly(Scenario {
+    rolling: Some(Rolling { every: Duration::from_secs(1), ..MOVING_CALLERS }), ..HEAVY_USE
+})]
 #[case::quiet(Scenario { rolling: Some(MOVING_CALLERS), ..NO_USE })]
 #[case::no_process_ends(Scenario { rolling: Some(Rolling { ends: false, ..MOVING_CALLERS }), ..NO_USE })]
 fn callers_that_move_leave_the_budget_usable(#[case] case: Scenario) {
