--- a/crates/gateway/src/retries.rs
+++ b/crates/gateway/src/retries.rs
@@ -257,8 +257,7 @@
         let share = state.budget(name, |budget| budget.share(now, routers));
         let left = state.budget(name, |budget| budget.left(now, routers));
         text.push_str(&format!(
-            "hyssop_repeats_part{{service=\"{name}\"}} {share}
-hyssop_repeats_left{{service=\"{name}\"}} {left}\n"
+            "hyssop_repeats_part{{service=\"{name}\"}} {share}\nhyssop_repeats_left{{service=\"{name}\"}} {left}\n"
         ));
     }
     text
